--- a/crankchute/core/timer_heap.py
+++ b/crankchute/core/timer_heap.py
@@ -1,4 +1,4 @@
-"""The order in which subscribed callbacks come due."""
+"""A priority queue of timer callbacks."""
 
 import heapq
 import itertools
@@ -7,36 +7,35 @@
 
 
 class TimerHeap:
-    """Subscriptions by the time at which they come due."""
+    """Timer subscriptions, ordered by due time and then by insertion."""
 
     def __init__(self):
-        """Create an empty heap."""
         self._heap = []
-        self._order = itertools.count()
+        self._sequence = itertools.count()
 
     def subscribe(self, due_ms, callback):
-        """Add a callback.
+        """Schedule a callback.
 
         Args:
-          due_ms: When it comes due, in milliseconds.
+          due_ms: The due time in milliseconds.
           callback: A function without arguments.
         Returns:
           A Subscription.
         """
         subscription = Subscription(callback)
-        entry = (due_ms, next(self._order), subscription)
+        entry = (due_ms, next(self._sequence), subscription)
         heapq.heappush(self._heap, entry)
         return subscription
 
     def next_due_ms(self):
-        """Return when the first subscription comes due, or None."""
+        """Return the earliest due time in milliseconds, or None."""
         return self._heap[0][0] if self._heap else None
 
     def pop_due(self, now_ms):
-        """Take the first subscription out if it is due.
+        """Remove and return the earliest subscription if it is due.
 
         Args:
-          now_ms: The time in milliseconds.
+          now_ms: The current time in milliseconds.
         Returns:
           A Subscription, or None.
         """
