--- a/crankchute/core/event_stream.py
+++ b/crankchute/core/event_stream.py
@@ -1,8 +1,8 @@
-"""Cutting a stream of server-sent events into whole events.
+"""Splits a byte stream of server-sent events into complete events.
 
-Events are passed on as they came.  Only their ids are read, to know where a
-stream may be taken up; a part of an event is kept until it is whole, and is
-dropped if its server breaks off.
+Events are forwarded unchanged.  Only their ids are parsed, to know where the
+stream can be resumed.  An incomplete event is buffered, and is dropped if the
+backend server closes the connection.
 """
 
 import re
@@ -14,21 +14,20 @@
 
 
 class EventCutter:
-    """Gathers the bytes of one stream."""
+    """Buffers the bytes of one stream until an event is complete."""
 
     __slots__ = ('_buffer',)
 
     def __init__(self):
-        """Create a cutter at the start of a stream."""
         self._buffer = b''
 
     @property
     def has_rest(self):
-        """Whether there are bytes of an event that is not whole, a bool."""
+        """Whether an incomplete event is buffered."""
         return bool(self._buffer)
 
     def feed(self, chunk):
-        """Take bytes and return the events that became whole.
+        """Add bytes and return the events that they complete.
 
         Args:
           chunk: Bytes.
@@ -40,17 +39,17 @@
         start = 0
         for boundary in _BOUNDARY.finditer(buffer):
             payload = buffer[start : boundary.end()]
-            events.append(StreamEvent(read_number(payload), payload))
+            events.append(StreamEvent(parse_event_id(payload), payload))
             start = boundary.end()
         self._buffer = buffer[start:]
         return events
 
 
-def read_number(payload):
-    """Return the id of an event, or None if it has no whole number as id.
+def parse_event_id(payload):
+    """Return the id of an event, or None if it has no integer id.
 
     Args:
       payload: The bytes of the event.
     """
-    found = _ID_LINE.search(payload)
-    return None if found is None else int(found.group(1))
+    match = _ID_LINE.search(payload)
+    return None if match is None else int(match.group(1))
--- a/crankchute/core/event_stream_test.py
+++ b/crankchute/core/event_stream_test.py
@@ -1,10 +1,10 @@
-"""Tests of cutting streams into events, wherever the bytes are cut."""
+"""Tests for splitting a byte stream into server-sent events."""
 
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
 
-from crankchute.core.event_stream import EventCutter, read_number
+from crankchute.core.event_stream import EventCutter, parse_event_id
 
 STREAM = (
     b'id: 1\ndata: a\n\n'
@@ -15,21 +15,21 @@
 
 
 @given(st.lists(st.integers(0, len(STREAM)), max_size=8))
-def test_events_are_whole_wherever_the_stream_is_cut(cuts):
-    cutter = EventCutter()
-    places = sorted({0, len(STREAM), *cuts})
+def test_events_do_not_depend_on_chunk_boundaries(cuts):
+    splitter = EventCutter()
+    offsets = sorted({0, len(STREAM), *cuts})
     events = []
-    for start, end in zip(places, places[1:]):
-        events.extend(cutter.feed(STREAM[start:end]))
+    for start, end in zip(offsets, offsets[1:]):
+        events.extend(splitter.feed(STREAM[start:end]))
     assert [event.number for event in events] == [1, 2, None, 3]
     assert b''.join(event.payload for event in events) == STREAM
-    assert not cutter.has_rest
+    assert not splitter.has_rest
 
 
-def test_part_of_an_event_is_kept_back():
-    cutter = EventCutter()
-    assert cutter.feed(b'id: 1\ndata: half') == []
-    assert cutter.has_rest
+def test_incomplete_event_is_buffered():
+    splitter = EventCutter()
+    assert splitter.feed(b'id: 1\ndata: half') == []
+    assert splitter.has_rest
 
 
 @pytest.mark.parametrize(
@@ -42,5 +42,5 @@
         (b'data: x\nid: 9\n\n', 9),
     ],
 )
-def test_numbers(payload, number):
-    assert read_number(payload) == number
+def test_parse_event_id(payload, number):
+    assert parse_event_id(payload) == number
