--- a/crankchute/core/job.py
+++ b/crankchute/core/job.py
@@ -1,8 +1,8 @@
-"""A request for a completion, as the core sees it."""
+"""Completion requests and the length bands of their prompts."""
 
-#: Prompts above this many tokens count as long.
-LONG_TOKENS = 32_000
-_BANDS = (
+#: Prompts with more tokens count as long.
+LONG_PROMPT_TOKENS = 32_000
+_LENGTH_BANDS = (
     ('1-4k', 4_000),
     ('4-32k', 32_000),
     ('32-100k', 100_000),
@@ -11,22 +11,22 @@
 
 
 class Job:
-    """A checked request for a completion.
+    """A validated request for a completion.
 
     Attributes:
-      request_id: Unique in the process, a string.
-      fingerprint: An int that all submissions of the same request have: those
-        of one client account with the same model and prompt.
+      request_id: A string, unique in the process.
+      fingerprint: An int hash of client account, model and prompt, equal for
+        all submissions of the same request.
       account: The client account's name.
       workload: The workload class's name.
       model: The model's name.
       prompt: Bytes.
-      tokens: The prompt's length in tokens, estimated from its bytes.
-      max_tokens: How many tokens to generate, an int.
-      arrived_ms: When it came, on this process's clock.
-      deadline_ms: When it must have ended, on this process's clock.
-      priority: 0 (first) to 9, from the workload class.
-      pools: Names of the pools that may serve it, a tuple.
+      tokens: The prompt length in tokens, estimated from its bytes.
+      max_tokens: The number of tokens to generate.
+      arrived_ms: The arrival time on this process's clock.
+      deadline_ms: The deadline on this process's clock.
+      priority: From 0 (highest) to 9, set by the workload class.
+      pools: A tuple of the names of the pools that may serve the request.
     """
 
     __slots__ = (
@@ -48,33 +48,33 @@
         """Create a job.
 
         Args:
-          fields: A value for each attribute.
+          fields: The value of each attribute.
         """
         for name in self.__slots__:
             setattr(self, name, fields[name])
 
-    #: Every completion may be taken up elsewhere after the last token that
-    #: its caller has, as often as the retry budget allows.
+    #: Every completion may be resumed on another engine after the last token
+    #: that its caller received, within the retry budget.
     is_stream = True
     may_repeat = True
     resume_after = 0
 
     @property
     def is_long(self):
-        """Whether the prompt counts as long."""
-        return self.tokens > LONG_TOKENS
+        """Whether the prompt is longer than LONG_PROMPT_TOKENS."""
+        return self.tokens > LONG_PROMPT_TOKENS
 
     @property
     def engine_priority(self):
-        """The priority at engines: by class, then shorter prompts first."""
+        """The priority at the engine: by class, then shorter prompts first."""
         band = length_bands().index(length_band(self.tokens))
-        return self.priority * len(_BANDS) + band
+        return self.priority * len(_LENGTH_BANDS) + band
 
     def remaining_ms(self, now_ms):
         """Return the milliseconds until the deadline.
 
         Args:
-          now_ms: The time on this process's clock.
+          now_ms: The current time on this process's clock.
         """
         return self.deadline_ms - now_ms
 
@@ -83,16 +83,16 @@
     """Return the name of the length band of a prompt.
 
     Args:
-      tokens: The prompt's length in tokens.
+      tokens: The prompt length in tokens.
     Returns:
       A string such as "4-32k".
     """
-    for name, upper in _BANDS:
-        if upper is None or tokens <= upper:
+    for name, upper_bound in _LENGTH_BANDS:
+        if upper_bound is None or tokens <= upper_bound:
             return name
-    return _BANDS[-1][0]
+    return _LENGTH_BANDS[-1][0]
 
 
 def length_bands():
     """Return the names of all length bands, shortest first."""
-    return [name for name, _ in _BANDS]
+    return [name for name, _ in _LENGTH_BANDS]
