--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -71,8 +71,8 @@
         'frames are not matched to their request',
         'whole answers',
         'crankchute/core/frames.py',
-        'if (frame.request_id, frame.attempt) != mine:',
-        'if mine is None:',
+        'if (frame.request_id, frame.attempt) != expected:',
+        'if expected is None:',
     ),
     Mutation(
         'a lost answer is taken for a call that did not run',
--- a/crankchute/core/attempt_desk.py
+++ b/crankchute/core/attempt_context.py
@@ -2,13 +2,13 @@
 
 #: When to come back after a server took nothing, in milliseconds: about what
 #: the oldest of its requests still takes.
-USUAL_HINT_MS = 300
+DEFAULT_RETRY_AFTER_MS = 300
 
 
-class AttemptDesk:
+class AttemptContext:
     """A desk of attempts; its defaults take what nobody asks for."""
 
-    def choose_hint_ms(self, _job):
+    def choose_retry_after_ms(self, _job):
         """Return when the caller of a job that did not run may come back.
 
         Args:
@@ -16,7 +16,7 @@
         Returns:
           Milliseconds.
         """
-        return USUAL_HINT_MS
+        return DEFAULT_RETRY_AFTER_MS
 
     def overdue_at_ms(self, flow, attempt):
         """Return when an attempt without any answer is a sign of a fault.
--- a/crankchute/core/dispatcher.py
+++ b/crankchute/core/dispatcher.py
@@ -6,16 +6,16 @@
 )
 from crankchute.core.crash_ledger import CrashLedger
 from crankchute.core.fair_queue import LaneQueue
-from crankchute.core.flow_desk import SMALLEST_HINT_MS, FlowDesk
+from crankchute.core.flow_desk import MIN_RETRY_AFTER_MS, FlowDesk
 from crankchute.core.group_flow import GroupFlow
 from crankchute.core.outcomes import Outcome, refuse_not_run
 from crankchute.core.policies import estimate_start_ms
 from crankchute.core.retry_budget import RetryBudget
 from crankchute.core.single_flow import SingleFlow
 
-_USABLE_MEMORY = 0.9
-_GAP_WEIGHT = 0.1
-_MOST_WAITING = 5000
+_USABLE_MEMORY_RATIO = 0.9
+_GAP_SMOOTHING = 0.1
+_MAX_WAITING = 5000
 
 
 class Ports:
@@ -67,7 +67,7 @@
         self._pump_again = False
         self._flows = {}
         self._budgets = {}
-        self._gap_ms = float(0)
+        self._token_gap_ms = float(0)
         self.config = None
         self.fleet = fleet
 
@@ -141,8 +141,8 @@
         if outcome == Outcome.OK:
             self._budget(job.account).note_success()
             # Admission counts with the usual time between tokens.
-            change_ms = flow.token_gap_ms() - self._gap_ms
-            self._gap_ms += _GAP_WEIGHT * change_ms
+            change_ms = flow.token_gap_ms() - self._token_gap_ms
+            self._token_gap_ms += _GAP_SMOOTHING * change_ms
         self._ports.metrics.count('requests_ended', outcome.value)
         self.pump()
 
@@ -186,22 +186,22 @@
         refusal = self._desk.crash_watch.find_refusal(job.fingerprint)
         if refusal is not None:
             return refusal
-        if len(self._queue) >= _MOST_WAITING:
+        if len(self._queue) >= _MAX_WAITING:
             return refuse_not_run(
                 'overloaded',
                 'too many requests wait',
-                SMALLEST_HINT_MS,
+                MIN_RETRY_AFTER_MS,
             )
         candidates = self.candidates(job)
         if not candidates:
             return refuse_not_run(
                 'no_engine',
                 'no engine can serve this now',
-                SMALLEST_HINT_MS,
+                MIN_RETRY_AFTER_MS,
             )
-        return self._check_time(job, candidates) or self._check_account(job)
+        return self._check_deadline(job, candidates) or self._check_account(job)
 
-    def _check_time(self, job, candidates):
+    def _check_deadline(self, job, candidates):
         remaining_ms = job.remaining_ms(self.now_ms())
         needed_ms = self._predict_ms(job, candidates)
         if needed_ms <= remaining_ms:
@@ -209,27 +209,27 @@
         return refuse_not_run(
             'deadline_too_near',
             f'about {round(needed_ms)} ms would be needed',
-            max(needed_ms - remaining_ms, SMALLEST_HINT_MS),
+            max(needed_ms - remaining_ms, MIN_RETRY_AFTER_MS),
         )
 
     def _check_account(self, job):
         account = self.config.accounts[job.account]
-        use = self._limits.use_of(account)
-        retry_after_ms = use.admit(job.tokens, self.now_ms())
+        usage = self._limits.use_of(account)
+        retry_after_ms = usage.admit(job.tokens, self.now_ms())
         if retry_after_ms is None:
             return None
         return refuse_not_run(
             'account_limit',
             f'account {job.account!r} is at its limit',
-            max(retry_after_ms, SMALLEST_HINT_MS),
+            max(retry_after_ms, MIN_RETRY_AFTER_MS),
         )
 
     def _predict_ms(self, job, candidates):
         view = self._desk.view(job)
-        starts = [estimate_start_ms(one, view) for one in candidates]
+        starts_ms = [estimate_start_ms(one, view) for one in candidates]
         rate = sum(one.load.prefill_rate for one in candidates)
-        queued_ms = self._queue.tokens_before(job) / rate
-        return queued_ms + min(starts) + self._gap_ms * job.max_tokens
+        queued_ms = self._queue.tokens_ahead(job) / rate
+        return queued_ms + min(starts_ms) + self._token_gap_ms * job.max_tokens
 
     def _budget(self, account):
         return self._budgets.setdefault(account, RetryBudget())
@@ -237,4 +237,4 @@
 
 def _largest_memory(candidates):
     totals = [one.load.memory_total for one in candidates]
-    return max(totals, default=0) * _USABLE_MEMORY
+    return max(totals, default=0) * _USABLE_MEMORY_RATIO
--- a/crankchute/core/fair_queue.py
+++ b/crankchute/core/fair_queue.py
@@ -1,9 +1,9 @@
-"""The order in which waiting requests start.
+"""Weighted fair queueing of waiting requests.
 
-Classes go by priority.  Within a priority the accounts share by weight: each
-request gets a virtual finish time, and a request of an account that has used
-little goes before those of one that has used much.  Requests that compete for
-the same engines form a lane, so that a lane without room holds up no other.
+Requests are ordered by priority.  Within a priority, client accounts share by
+weight: requests are ordered by virtual finish time.  Requests that compete for
+the same engines share a lane, so that a lane without capacity does not block
+the others.
 """
 
 from sortedcontainers import SortedDict
@@ -12,79 +12,81 @@
 
 
 class FairQueue:
-    """One lane: waiting flows, fair among accounts by weight."""
+    """One lane: a weighted fair queue of flows."""
 
     def __init__(self):
-        """Create an empty lane."""
         self._waiting = SortedDict()
         self._ranks = {}
-        self._finish = {}
-        self._virtual = 0
-        self._count = 0
+        self._finish_times = {}
+        self._virtual_time = 0
+        self._sequence = 0
 
     def __len__(self):
-        """Return how many flows wait."""
+        """Return the number of waiting flows."""
         return len(self._waiting)
 
     def add(self, flow, weight):
-        """Queue a flow; one that waits already keeps its place.
+        """Queue a flow; a flow that is already queued keeps its position.
 
         Args:
-          flow: A flow with a Job as `job`.
-          weight: The account's weight, above 0.
+          flow: A flow whose `job` is a Job.
+          weight: The account's weight, greater than 0.
         """
         job = flow.job
         if job.request_id in self._ranks:
             return
-        start = max(self._virtual, self._finish.get(job.account, 0))
-        finish = start + job.tokens / weight
-        self._finish[job.account] = finish
-        self._count += 1
-        rank = (job.priority, finish, self._count)
+        start_time = max(
+            self._virtual_time,
+            self._finish_times.get(job.account, 0),
+        )
+        finish_time = start_time + job.tokens / weight
+        self._finish_times[job.account] = finish_time
+        self._sequence += 1
+        rank = (job.priority, finish_time, self._sequence)
         self._ranks[job.request_id] = rank
         self._waiting[rank] = flow
 
     def discard(self, flow):
-        """Take a flow out if it waits.
+        """Remove a flow if it is queued.
 
         Args:
           flow: The flow.
         Returns:
-          Its rank, or None if it did not wait.
+          The flow's rank, or None if it was not queued.
         """
         rank = self._ranks.pop(flow.job.request_id, None)
         if rank is None:
             return None
         self._waiting.pop(rank)
-        self._virtual = max(self._virtual, rank[1])
+        self._virtual_time = max(self._virtual_time, rank[1])
         if not self._waiting:
-            self._finish.clear()
-            self._virtual = 0
+            self._finish_times.clear()
+            self._virtual_time = 0
         return rank
 
     def restore(self, flow, rank):
-        """Put a flow back at the place it had.
+        """Put a removed flow back at its former position.
 
         Args:
           flow: The flow.
-          rank: What discard returned.
+          rank: The rank that discard() returned.
         """
         self._ranks[flow.job.request_id] = rank
         self._waiting[rank] = flow
 
     def first(self):
-        """Return the flow whose turn it is, or None."""
+        """Return the flow at the head of the queue, or None."""
         return self._waiting.peekitem(0)[1] if self._waiting else None
 
     def first_rank(self):
-        """Return the rank of the flow whose turn it is."""
+        """Return the rank of the flow at the head of the queue."""
         return self._waiting.peekitem(0)[0]
 
-    def tokens_before(self, priority):
-        """Return the prompt tokens that wait at a priority or a higher one.
+    def tokens_ahead(self, priority):
+        """Return the queued prompt tokens at a priority or a higher one.
 
         Args:
-          priority: 0 (first) to 9.
+          priority: From 0 (highest) to 9.
         Returns:
           An int.
         """
@@ -96,53 +98,52 @@
 
 
 class LaneQueue:
-    """All lanes of one entry instance."""
+    """The lanes of one entry instance."""
 
     def __init__(self):
-        """Create without any lane."""
         self._lanes = {}
 
     def __len__(self):
-        """Return how many flows wait in all lanes."""
+        """Return the number of waiting flows in all lanes."""
         return sum(len(lane) for lane in self._lanes.values())
 
     def add(self, flow, weight):
         """Queue a flow in its lane.
 
         Args:
-          flow: A flow with a Job as `job`.
-          weight: The account's weight, above 0.
+          flow: A flow whose `job` is a Job.
+          weight: The account's weight, greater than 0.
         """
-        key = _lane_of(flow.job)
+        key = _lane_key(flow.job)
         lane = self._lanes.setdefault(key, FairQueue())
         lane.add(flow, weight)
 
     def discard(self, flow):
-        """Take a flow out if it waits.
+        """Remove a flow if it is queued.
 
         Args:
           flow: The flow.
         """
-        lane = self._lanes.get(_lane_of(flow.job))
+        lane = self._lanes.get(_lane_key(flow.job))
         if lane is not None:
             lane.discard(flow)
 
-    def tokens_before(self, job):
-        """Return the prompt tokens that wait before a new job.
+    def tokens_ahead(self, job):
+        """Return the queued prompt tokens ahead of a new job.
 
         Args:
           job: The Job.
         Returns:
           An int.
         """
-        lane = self._lanes.get(_lane_of(job))
-        return 0 if lane is None else lane.tokens_before(job.priority)
+        lane = self._lanes.get(_lane_key(job))
+        return 0 if lane is None else lane.tokens_ahead(job.priority)
 
     def start_ready(self, start):
-        """Start flows in their order until their lanes have no room.
+        """Start flows in queue order, in each lane until one must wait.
 
         Args:
-          start: A function of a flow, which returns False if it must wait.
+          start: A function of a flow that returns False if the flow must wait.
         """
         lanes = [lane for lane in self._lanes.values() if lane]
         lanes.sort(key=FairQueue.first_rank)
@@ -160,5 +161,5 @@
         flow = lane.first()
 
 
-def _lane_of(job):
+def _lane_key(job):
     return (job.pools, job.model, length_band(job.tokens))
--- a/crankchute/core/flow_desk.py
+++ b/crankchute/core/flow_desk.py
@@ -1,6 +1,6 @@
 """What the flows of requests ask for: engines, retries, and their turn."""
 
-from crankchute.core.attempt_desk import AttemptDesk
+from crankchute.core.attempt_context import AttemptContext
 from crankchute.core.candidates import is_usable
 from crankchute.core.crash_watch import CrashWatch
 from crankchute.core.forward_job import Placement
@@ -11,15 +11,15 @@
 )
 from crankchute.core.single_flow import CompletionPort
 
-SMALLEST_HINT_MS = 200
-_WINDOW_MS = 250
-_REQUEUE_MS = 40
+MIN_RETRY_AFTER_MS = 200
+_PENDING_WINDOW_MS = 250
+_REQUEUE_DELAY_MS = 40
 #: How long an engine may be silent, before the first token and between two.
-_STALL_MS = 2500
-_FIRST_STALL_FACTOR = 3
+_STALL_TIMEOUT_MS = 2500
+_FIRST_TOKEN_FACTOR = 3
 
 
-class FlowDesk(AttemptDesk):
+class FlowDesk(AttemptContext):
     """What flows ask of the dispatcher: choices, retries, queueing."""
 
     def __init__(self, dispatcher, ports, data_centre):
@@ -33,7 +33,7 @@
         self._dispatcher = dispatcher
         self._random = ports.random
         self._data_centre = data_centre
-        self._choices = 0
+        self._choice_count = 0
         self.engines = ports.engines
         self.port = CompletionPort(ports.engines, ports.metrics)
         self.crash_watch = CrashWatch(
@@ -46,13 +46,13 @@
 
     def view(self, job):
         """Return the RoutingView of a job."""
-        self._choices += 1
+        self._choice_count += 1
         return RoutingView(
             job,
             self.timers.clock.now_ms(),
             self._random,
             self._data_centre,
-            self._choices,
+            self._choice_count,
         )
 
     def choose(self, job, avoided):
@@ -66,7 +66,7 @@
           A Placement, or None if the job must wait.
         """
         candidates = self._dispatcher.candidates(job)
-        candidates = _prefer(candidates, avoided)
+        candidates = _without_avoided(candidates, avoided)
         candidates = [one for one in candidates if _has_room(one, job)]
         if not candidates:
             return None
@@ -93,7 +93,7 @@
         members = [one for one in members if _free_memory(one) > share]
         if len(members) < size:
             return None
-        members.sort(key=_long_then_free)
+        members.sort(key=_group_preference)
         return sorted(members[:size], key=_identity_of)
 
     def choose_spare(self, job, used):
@@ -131,10 +131,10 @@
 
     def silent_until_ms(self, flow, attempt):
         """Return until when an attempt's engine may be silent."""
-        allowed_ms = _STALL_MS
+        allowed_ms = _STALL_TIMEOUT_MS
         if not attempt.started:
             first_ms = attempt.placement.first_ms
-            allowed_ms += first_ms * _FIRST_STALL_FACTOR
+            allowed_ms += first_ms * _FIRST_TOKEN_FACTOR
         return attempt.heard_ms + allowed_ms
 
     def take_retry(self, job):
@@ -196,27 +196,27 @@
 
     def requeue(self, flow):
         """Let a flow wait again, after a short random pause."""
-        pause_ms = _REQUEUE_MS * (1 + self._random.random())
+        pause_ms = _REQUEUE_DELAY_MS * (1 + self._random.random())
         self.timers.after(pause_ms, lambda: self._dispatcher.enqueue(flow))
 
 
 def _has_room(backend, job):
     if not backend.pending_tokens:
         return True
-    window = backend.load.prefill_rate * _WINDOW_MS
-    return backend.pending_tokens + job.tokens <= window
+    token_window = backend.load.prefill_rate * _PENDING_WINDOW_MS
+    return backend.pending_tokens + job.tokens <= token_window
 
 
-def _prefer(candidates, avoided):
-    fresh = [one for one in candidates if one.identity not in avoided]
-    return fresh or candidates
+def _without_avoided(candidates, avoided):
+    preferred = [one for one in candidates if one.identity not in avoided]
+    return preferred or candidates
 
 
 def _free_memory(backend):
     return backend.load.memory_free
 
 
-def _long_then_free(backend):
+def _group_preference(backend):
     return (backend.serving_long, -backend.load.memory_free)
 
 
--- a/crankchute/core/forward_attempt.py
+++ b/crankchute/core/forward_attempt.py
@@ -6,7 +6,7 @@
 
 FIRST_SERVER_ERROR = 500
 #: An error that a server gives may be the request's fault as well.
-_ERROR_WEIGHT = 0.5
+_SERVER_ERROR_WEIGHT = 0.5
 
 
 class Attempt(AttemptListener):
@@ -26,10 +26,10 @@
         '_desk',
         '_flow',
         '_head',
-        '_is_over',
+        '_is_closed',
         '_is_overdue',
         '_reservation',
-        '_silence',
+        '_watchdog',
         'first_ms',
         'heard_ms',
         'longest_gap_ms',
@@ -50,10 +50,10 @@
         self._body = []
         self._call = None
         self._head = None
-        self._is_over = False
+        self._is_closed = False
         self._is_overdue = False
         self._reservation = None
-        self._silence = None
+        self._watchdog = None
         self.first_ms = None
         self.heard_ms = None
         self.longest_gap_ms = 0
@@ -95,7 +95,7 @@
         self._call.cancel()
         return self._call.sent
 
-    def end_lost(self, backend):
+    def end_restarted(self, backend):
         """End the attempt since a server that it needs started again.
 
         Its connection may stay silent until it is probed, after 2.5 s.
@@ -106,9 +106,9 @@
         if not self._close():
             return
         if self._call is None:
-            parts = (self.placement, *self.placement.helpers)
-            lost = [one for one in parts if one.backend is backend]
-            self._flow.on_attempt_unreserved(self, lost)
+            participants = (self.placement, *self.placement.helpers)
+            restarted = [one for one in participants if one.backend is backend]
+            self._flow.on_reservation_refused(self, restarted)
             return
         self.backend.breaker.note_abandoned()
         self._call.cancel()
@@ -120,7 +120,7 @@
 
     def on_head(self, head):
         """See AttemptListener."""
-        if self._is_over:
+        if self._is_closed:
             return
         self._head = head
         if head.load is not None:
@@ -132,7 +132,7 @@
 
     def on_event(self, event):
         """See AttemptListener."""
-        if self._is_over:
+        if self._is_closed:
             return
         self._note_event()
         self._flow.on_event(self, self._head, event)
@@ -143,7 +143,7 @@
             return
         now_ms = self._desk.now_ms()
         if self._head.status >= FIRST_SERVER_ERROR:
-            self.backend.note_failed(now_ms, _ERROR_WEIGHT)
+            self.backend.note_failed(now_ms, _SERVER_ERROR_WEIGHT)
         else:
             self.backend.note_sound(now_ms)
         self._flow.on_attempt_end(self, self._head, b''.join(self._body))
@@ -175,11 +175,11 @@
         self.heard_ms = now_ms
 
     def _on_reserved(self, refused):
-        if self._is_over:
+        if self._is_closed:
             return
         if refused:
             self._close()
-            self._flow.on_attempt_unreserved(self, refused)
+            self._flow.on_reservation_refused(self, refused)
         else:
             self._send()
 
@@ -189,7 +189,7 @@
         self.backend.breaker.note_start()
         self.heard_ms = self.sent_ms
         self._flow.on_attempt_sent(self)
-        self._watch()
+        self._arm_watchdog()
         job = self._flow.job
         order = AttemptOrder(
             self._flow.attempts,
@@ -198,30 +198,30 @@
         )
         self._call = self._desk.port.send(job, self.placement, order, self)
 
-    def _watch(self):
+    def _arm_watchdog(self):
         """Wait until the server is overdue, or has been silent for too long.
 
         A timer for each event would cost more than the event; one timer is
         set again when it ends and finds that the server may still be silent.
         """
-        until_ms = self._silent_until_ms()
-        may_be_overdue = not self.started and not self._is_overdue
-        if until_ms is None and not may_be_overdue:
+        stalled_at_ms = self._stalled_at_ms()
+        checks_overdue = not self.started and not self._is_overdue
+        if stalled_at_ms is None and not checks_overdue:
             return
-        next_ms = until_ms
-        if may_be_overdue:
+        due_ms = stalled_at_ms
+        if checks_overdue:
             overdue_ms = self._desk.overdue_at_ms(self._flow, self)
-            next_ms = min(overdue_ms, until_ms or overdue_ms)
-        left_ms = next_ms - self._desk.now_ms()
-        if left_ms > 0:
-            self._silence = self._desk.after(left_ms, self._on_silence)
-        elif may_be_overdue:
+            due_ms = min(overdue_ms, stalled_at_ms or overdue_ms)
+        delay_ms = due_ms - self._desk.now_ms()
+        if delay_ms > 0:
+            self._watchdog = self._desk.after(delay_ms, self._on_watchdog)
+        elif checks_overdue:
             self._note_overdue()
-            self._watch()
+            self._arm_watchdog()
         else:
-            self._end_silence()
+            self._fail_stalled()
 
-    def _silent_until_ms(self):
+    def _stalled_at_ms(self):
         """Return until when the server may be silent, or None.
 
         Memory that is set aside must be used or given back: engines that hung
@@ -238,23 +238,23 @@
         self._is_overdue = True
         self.backend.suspicion.note_failure(self._desk.now_ms())
 
-    def _on_silence(self):
-        self._silence = None
-        if not self._is_over:
-            self._watch()
+    def _on_watchdog(self):
+        self._watchdog = None
+        if not self._is_closed:
+            self._arm_watchdog()
 
-    def _end_silence(self):
+    def _fail_stalled(self):
         if self._call is not None:
             self._call.cancel()
         text = 'the backend server fell silent'
         self.on_failed(BackendError(text, sent=True))
 
     def _close(self):
-        if self._is_over:
+        if self._is_closed:
             return False
-        self._is_over = True
-        if self._silence is not None:
-            self._silence.cancel()
+        self._is_closed = True
+        if self._watchdog is not None:
+            self._watchdog.cancel()
         if self.sent_ms is not None:
             self.backend.in_flight -= 1
             self._desk.note_left(self._flow, self)
--- a/crankchute/core/forward_desk.py
+++ b/crankchute/core/forward_desk.py
@@ -5,7 +5,10 @@
 baselines that experiments compare them with.
 """
 
-from crankchute.core.attempt_desk import USUAL_HINT_MS, AttemptDesk
+from crankchute.core.attempt_context import (
+    DEFAULT_RETRY_AFTER_MS,
+    AttemptContext,
+)
 from crankchute.core.crash_watch import CrashWatch
 from crankchute.core.forward_flow import ForwardFlow
 from crankchute.core.forward_job import Placement
@@ -15,7 +18,7 @@
 from crankchute.ports.forwarding import MOVED
 
 
-class ForwardDesk(AttemptDesk):
+class ForwardDesk(AttemptContext):
     """Serves forwarded requests and knows those in progress.
 
     Attributes:
@@ -77,15 +80,15 @@
         flow.start()
         return flow
 
-    def note_instances(self, known):
+    def note_instances(self, count):
         """Note how many instances share the retry budget.
 
         Args:
           known: An int.
         """
-        self._instances = max(self._instances, known)
+        self._instances = max(self._instances, count)
         for budget in self._budgets.values():
-            budget.note_instances(known)
+            budget.note_instances(count)
 
     def note_restarted(self, backend):
         """Note that a server started again, and runs nothing of before.
@@ -96,7 +99,7 @@
         for flow in tuple(self._flows):
             attempt = flow.attempt
             if attempt is not None and attempt.placement.uses(backend):
-                attempt.end_lost(backend)
+                attempt.end_restarted(backend)
 
     def change_limits(self, limits):
         """Take other retry limits; what was used stays used.
@@ -116,10 +119,10 @@
         """Run a callback later; see TimerService."""
         return self._timers.after(delay_ms, callback)
 
-    def choose_hint_ms(self, job):
-        """See AttemptDesk; who is refused together comes back apart."""
+    def choose_retry_after_ms(self, job):
+        """See AttemptContext; who is refused together comes back apart."""
         remaining_ms = job.remaining_ms(self.now_ms())
-        return self._hints.choose_ms(remaining_ms, USUAL_HINT_MS)
+        return self._hints.choose_ms(remaining_ms, DEFAULT_RETRY_AFTER_MS)
 
     def choose(self, flow, avoided):
         """Choose where a request's next attempt runs.
@@ -201,11 +204,11 @@
             chooser.note_first(flow.job, placement)
         if flow.job.size is None or placement.first_ms is None:
             return
-        seen_ms = attempt.first_ms - attempt.sent_ms
-        error_ms = seen_ms - placement.first_ms
+        actual_ms = attempt.first_ms - attempt.sent_ms
+        error_ms = actual_ms - placement.first_ms
         self.metrics.observe_prediction(flow.job.size.prompt, error_ms)
         if chooser is not None:
-            chooser.note_pace(placement, seen_ms)
+            chooser.note_pace(placement, actual_ms)
 
     def note_load(self, flow, attempt, load):
         """Note the load that a server told with its answer."""
@@ -220,12 +223,12 @@
     def note_rejection(self, flow, attempt, rejection):
         """Note that a server did not take a request."""
         self.metrics.count('engine_refusals', rejection.code)
-        faulty = attempt.placement.find_faulty(rejection.at_server)
+        server = attempt.placement.find_rejecting_server(rejection.at_server)
         if rejection.code == MOVED:
-            self._note_moved(faulty)
+            self._note_moved(server)
         elif rejection.retry_after_ms:
             # A helper that wants rest says so through the one that was asked.
-            faulty.leave_alone(self.now_ms() + rejection.retry_after_ms)
+            server.leave_alone(self.now_ms() + rejection.retry_after_ms)
 
     def note_dropped(self, flow, attempt):
         """Count an event that the caller had already."""
@@ -265,9 +268,9 @@
     Returns:
       A Placement, or a Refusal.
     """
-    alone = chooser.choose(job, avoided | chooser.list_busy())
-    if isinstance(alone, Placement):
-        return alone
+    isolated = chooser.choose(job, avoided | chooser.list_busy())
+    if isinstance(isolated, Placement):
+        return isolated
     return chooser.choose(job, avoided)
 
 
--- a/crankchute/core/forward_flow.py
+++ b/crankchute/core/forward_flow.py
@@ -24,7 +24,7 @@
     """
 
     #: When to come back after a request that started and did not finish.
-    unfinished_hint_ms = None
+    unfinished_retry_after_ms = None
 
     __slots__ = (
         '_avoided',
@@ -114,7 +114,7 @@
         self.attempts += 1
         self._desk.note_attempt(self, attempt, self._cause)
 
-    def on_attempt_unreserved(self, attempt, refused):
+    def on_reservation_refused(self, attempt, refused):
         """Choose anew when engines set no memory aside."""
         self.attempt = None
         self._avoided.update(one.backend.identity for one in refused)
@@ -129,17 +129,17 @@
             if not self._expire_if_late():
                 self._finish_stream(head)
             return
-        is_fault = head.status >= FIRST_SERVER_ERROR
-        may_repeat = is_fault and self.job.may_repeat
-        if may_repeat and self._may_go_on(attempt.backend):
+        is_server_error = head.status >= FIRST_SERVER_ERROR
+        may_repeat = is_server_error and self.job.may_repeat
+        if may_repeat and self._may_retry(attempt.backend):
             self._maybe_ran = True
             self._last_answer = (head, body)
             self._try_next(head.status)
         elif self._streaming:
-            self._break_off('not_resumed', 'the stream was not taken up')
+            self._abort_stream('not_resumed', 'the stream was not taken up')
         else:
             self._sink.on_answer(head, body)
-            outcome = Outcome.FAILED if is_fault else Outcome.OK
+            outcome = Outcome.FAILED if is_server_error else Outcome.OK
             self._end(outcome, str(head.status))
 
     def on_attempt_not_run(self, attempt, rejection):
@@ -147,11 +147,11 @@
         self.attempt = None
         self._desk.note_attempt_end(self, attempt, rejection.code)
         self._desk.note_rejection(self, attempt, rejection)
-        faulty = attempt.placement.find_faulty(rejection.at_server)
-        if self._may_go_on(faulty):
+        rejecting = attempt.placement.find_rejecting_server(rejection.at_server)
+        if self._may_retry(rejecting):
             self._try_next(rejection.code)
         else:
-            self._give_up(rejection.code, 'no backend server took it')
+            self._fail(rejection.code, 'no backend server took it')
 
     def on_attempt_failed(self, attempt, exc):
         """Try elsewhere if that is allowed, or end."""
@@ -167,10 +167,10 @@
             watch = self._desk.crash_watch
             is_safe = watch.may_try_again(self.job.fingerprint)
             may_repeat = self.job.may_repeat and is_safe
-            if may_repeat and self._may_go_on(attempt.backend):
+            if may_repeat and self._may_retry(attempt.backend):
                 self._try_next('failed')
             else:
-                self._give_up('backend_failed', str(exc))
+                self._fail('backend_failed', str(exc))
 
         self._after_failure(attempt, exc, go_on)
 
@@ -199,7 +199,7 @@
             if self.ended:
                 return
             if isinstance(choice, Refusal):
-                self._give_up(choice.code, choice.text, choice.retry_after_ms)
+                self._fail(choice.code, choice.text, choice.retry_after_ms)
                 return
             self._cause = cause
             self.attempt = Attempt(self, self._desk, choice)
@@ -213,7 +213,7 @@
         self._sink.on_end()
         self._end(Outcome.OK, 'whole')
 
-    def _may_go_on(self, backend):
+    def _may_retry(self, backend):
         self._avoided.add(backend.identity)
         has_attempts = self.attempts < self.job.max_attempts
         return has_attempts and self._desk.take_retry(self.job)
@@ -234,7 +234,7 @@
         if self._cancel_attempt():
             self._maybe_ran = True
         self._last_answer = None
-        self._give_up('deadline_exceeded', 'the deadline has passed')
+        self._fail('deadline_exceeded', 'the deadline has passed')
 
     def _cancel_attempt(self):
         """Give up the attempt, and tell whether it had been sent."""
@@ -245,9 +245,9 @@
         self._desk.note_attempt_end(self, attempt, 'cancelled')
         return True
 
-    def _give_up(self, code, text, retry_after_ms=None):
+    def _fail(self, code, text, retry_after_ms=None):
         if self._streaming:
-            self._break_off(code, text)
+            self._abort_stream(code, text)
             return
         if self._last_answer is not None:
             # A failure that a server gave says more than one of ours.
@@ -256,26 +256,26 @@
             self._end(Outcome.FAILED, str(head.status))
             return
         if retry_after_ms is None:
-            retry_after_ms = self._desk.choose_hint_ms(self.job)
+            retry_after_ms = self._desk.choose_retry_after_ms(self.job)
         if self._maybe_ran:
             may_repeat = self.job.may_repeat
             refusal = Refusal(
                 Outcome.FAILED if may_repeat else Outcome.UNKNOWN,
                 code,
                 text,
-                retry_after_ms=self.unfinished_hint_ms,
+                retry_after_ms=self.unfinished_retry_after_ms,
             )
         else:
             refusal = refuse_not_run(code, text, retry_after_ms)
         self._sink.on_refused(refusal)
         self._end(refusal.outcome, code)
 
-    def _break_off(self, code, text):
+    def _abort_stream(self, code, text):
         refusal = Refusal(
             Outcome.FAILED,
             code,
             text,
-            retry_after_ms=self.unfinished_hint_ms,
+            retry_after_ms=self.unfinished_retry_after_ms,
         )
         self._sink.on_refused(refusal)
         self._end(Outcome.FAILED, code)
--- a/crankchute/core/forward_job.py
+++ b/crankchute/core/forward_job.py
@@ -3,7 +3,7 @@
 import enum
 
 #: The rank of a request at an engine when nothing says otherwise.
-_USUAL_PRIORITY = 5
+_DEFAULT_PRIORITY = 5
 
 
 class Repeat(enum.Enum):
@@ -194,11 +194,11 @@
 
     def describe(self):
         """Return the beliefs as a map of numbers, rounded for people."""
-        described = {}
+        rounded = {}
         for name in self.__slots__:
-            found = getattr(self, name)
-            described[name] = None if found is None else round(found, 2)
-        return described
+            estimate = getattr(self, name)
+            rounded[name] = None if estimate is None else round(estimate, 2)
+        return rounded
 
 
 class Placement:
@@ -235,10 +235,10 @@
         self.first_ms = first_ms
         self.helpers = helpers
         self.key = key
-        self.priority = _USUAL_PRIORITY
+        self.priority = _DEFAULT_PRIORITY
         self.beliefs = None
 
-    def find_faulty(self, at_server):
+    def find_rejecting_server(self, at_server):
         """Return the server that a rejection blames.
 
         Args:
--- a/crankchute/core/frames.py
+++ b/crankchute/core/frames.py
@@ -1,23 +1,25 @@
-"""Matching the frames of a stream to the attempt that asked for them.
+"""Matches the frames of a token stream to the attempt that requested them.
 
-An engine's frames may come late, twice, out of order, cut short, or belong to
-somebody else.  A frame counts only if it names this request, this attempt and
-the engine incarnation that answered first, and continues at the next offset.
+Frames may arrive late, duplicated, out of order or truncated, or belong to
+another request.  A frame is accepted only if it names this request, this
+attempt and the engine incarnation of the first frame, and starts at the next
+expected offset.
 """
 
 import enum
 
 
 class Frame:
-    """A part of a generated answer, as an engine sent it.
+    """Part of a generated answer, as received from an engine.
 
     Attributes:
-      request_id: The request it answers.
-      attempt: The number of the attempt, an int.
-      boot: The engine's incarnation.
+      request_id: The id of the request.
+      attempt: The attempt number, an int.
+      boot: The engine's incarnation id.
       offset: The index of the first token, an int.
-      tokens: A list of strings; empty in an end mark.
-      count: In an end mark, how many tokens the whole answer has; else None.
+      tokens: A list of strings; empty in an end frame.
+      count: In an end frame, the number of tokens of the whole answer; else
+        None.
     """
 
     __slots__ = ('attempt', 'boot', 'count', 'offset', 'request_id', 'tokens')
@@ -26,10 +28,10 @@
         """Create a frame.
 
         Args:
-          request_id: The request it answers.
-          attempt: The number of the attempt.
-          boot: The engine's incarnation.
-          body: `offset`, `tokens` and `count`, see the class.
+          request_id: The id of the request.
+          attempt: The attempt number.
+          boot: The engine's incarnation id.
+          body: `offset`, and optionally `tokens` and `count`; see the class.
         """
         self.request_id = request_id
         self.attempt = attempt
@@ -39,36 +41,36 @@
         self.count = body.get('count')
 
 
-class FrameFate(enum.Enum):
-    """What becomes of a frame."""
+class FrameMatch(enum.Enum):
+    """The result of matching a frame."""
 
     #: The frame continues the answer.
-    TAKEN = enum.auto()
-    #: The frame is of another request, attempt or incarnation, or a repeat.
+    ACCEPTED = enum.auto()
+    #: The frame is a duplicate, or of another request, attempt or incarnation.
     DROPPED = enum.auto()
-    #: Frames are missing before this one; the attempt cannot go on.
+    #: Frames before this one are missing; the attempt cannot continue.
     GAP = enum.auto()
-    #: The frame is the end mark and agrees with what was taken.
+    #: The frame is the end frame, and its count matches the accepted tokens.
     END = enum.auto()
 
 
 class FrameMatcher:
-    """Follows one attempt's frames.
+    """Tracks the frames of one attempt.
 
     Attributes:
-      offset: The next offset, which is the number of tokens of the answer so
-        far, those of earlier attempts included.
+      offset: The next expected offset, which is the number of tokens received
+        so far, including those of earlier attempts.
     """
 
     __slots__ = ('_attempt', '_boot', '_request_id', 'offset')
 
     def __init__(self, request_id, attempt, offset):
-        """Expect an attempt's frames.
+        """Create a matcher.
 
         Args:
           request_id: The request's id.
-          attempt: The attempt's number.
-          offset: How many tokens earlier attempts delivered.
+          attempt: The attempt number.
+          offset: The number of tokens that earlier attempts delivered.
         """
         self._request_id = request_id
         self._attempt = attempt
@@ -76,31 +78,31 @@
         self.offset = offset
 
     def match(self, frame):
-        """Decide on a frame, and move on if it is taken.
+        """Classify a frame, and advance the offset if it is accepted.
 
         Args:
           frame: A Frame.
         Returns:
-          A FrameFate.
+          A FrameMatch.
         """
-        if not self._is_mine(frame):
-            return FrameFate.DROPPED
+        if not self._belongs(frame):
+            return FrameMatch.DROPPED
         if self._boot is None:
             self._boot = frame.boot
         if frame.count is not None:
             return self._match_end(frame)
         if frame.offset == self.offset:
             self.offset += len(frame.tokens)
-            return FrameFate.TAKEN
+            return FrameMatch.ACCEPTED
         return (
-            FrameFate.DROPPED if frame.offset < self.offset else FrameFate.GAP
+            FrameMatch.DROPPED if frame.offset < self.offset else FrameMatch.GAP
         )
 
-    def _is_mine(self, frame):
-        mine = (self._request_id, self._attempt)
-        if (frame.request_id, frame.attempt) != mine:
+    def _belongs(self, frame):
+        expected = (self._request_id, self._attempt)
+        if (frame.request_id, frame.attempt) != expected:
             return False
         return self._boot in {None, frame.boot}
 
     def _match_end(self, frame):
-        return FrameFate.END if frame.count == self.offset else FrameFate.GAP
+        return FrameMatch.END if frame.count == self.offset else FrameMatch.GAP
--- a/crankchute/core/frames_test.py
+++ b/crankchute/core/frames_test.py
@@ -1,8 +1,8 @@
-"""Tests of matching frames: late, crossed, doubled, missing."""
+"""Tests for frame matching: late, misrouted, duplicate and missing frames."""
 
 import pytest
 
-from crankchute.core.frames import Frame, FrameFate, FrameMatcher
+from crankchute.core.frames import Frame, FrameMatch, FrameMatcher
 
 
 def _frame(offset=0, tokens=('a',), **changes):
@@ -18,29 +18,28 @@
 
 
 @pytest.mark.parametrize(
-    ('frame', 'fate'),
+    ('frame', 'result'),
     [
-        (_frame(2), FrameFate.TAKEN),
-        (_frame(2, request_id='x'), FrameFate.DROPPED),
-        (_frame(2, attempt=0), FrameFate.DROPPED),
-        (_frame(2, boot='other'), FrameFate.DROPPED),
-        (_frame(1), FrameFate.DROPPED),
-        (_frame(3), FrameFate.GAP),
-        (_frame(count=2), FrameFate.END),
-        (_frame(count=3), FrameFate.GAP),
-        (_frame(count=2, attempt=2), FrameFate.DROPPED),
+        (_frame(2), FrameMatch.ACCEPTED),
+        (_frame(2, request_id='x'), FrameMatch.DROPPED),
+        (_frame(2, attempt=0), FrameMatch.DROPPED),
+        (_frame(2, boot='other'), FrameMatch.DROPPED),
+        (_frame(1), FrameMatch.DROPPED),
+        (_frame(3), FrameMatch.GAP),
+        (_frame(count=2), FrameMatch.END),
+        (_frame(count=3), FrameMatch.GAP),
+        (_frame(count=2, attempt=2), FrameMatch.DROPPED),
     ],
 )
-def test_third_frame(frame, fate):
-    """After two tokens only the next frame, or a true end, is taken."""
+def test_match_after_two_tokens(frame, result):
+    """Only the next frame or an end frame with the right count matches."""
     matcher = FrameMatcher('r', 1, 0)
     matcher.match(_frame(0))
     matcher.match(_frame(1))
-    assert matcher.match(frame) == fate
+    assert matcher.match(frame) == result
 
 
-def test_resumed_attempt_expects_its_offset():
-    """An attempt that resumes takes frames from where the last one ended."""
+def test_resumed_attempt_starts_at_given_offset():
     matcher = FrameMatcher('r', 2, 5)
-    assert matcher.match(_frame(5, attempt=2)) == FrameFate.TAKEN
-    assert matcher.match(_frame(count=6, attempt=2)) == FrameFate.END
+    assert matcher.match(_frame(5, attempt=2)) == FrameMatch.ACCEPTED
+    assert matcher.match(_frame(count=6, attempt=2)) == FrameMatch.END
--- a/crankchute/core/service_flow.py
+++ b/crankchute/core/service_flow.py
@@ -18,14 +18,14 @@
 _RETRY_WINDOW_MS = 10_000
 #: Retries of one account and pool, at each instance: a tenth of its calls in
 #: ten seconds, and a few so that a quiet account has some.
-_RETRIES = RetryLimits(
+_RETRY_LIMITS = RetryLimits(
     ratio=0.1,
     slack=10,
     window_ms=_RETRY_WINDOW_MS,
     per_account=True,
 )
-_MOST_ATTEMPTS = 5
-_USUAL_PRIORITY = 5
+_MAX_ATTEMPTS = 5
+_DEFAULT_PRIORITY = 5
 
 
 class ServiceCall:
@@ -143,10 +143,10 @@
                 reservations=None,
                 hints=self._hints,
                 crashes=ports.crashes,
-                note_moved=_ignore,
+                note_moved=_ignore_moved,
                 chooser_of=self._chooser_of,
             ),
-            _RETRIES,
+            _RETRY_LIMITS,
             ended_counter='service_calls_ended',
         )
         self.config = None
@@ -173,12 +173,12 @@
             is_keyed=False,
             account=call.account,
             size=None,
-            priority=_USUAL_PRIORITY,
+            priority=_DEFAULT_PRIORITY,
             arrived_ms=now_ms,
             deadline_ms=call.deadline_ms,
             goal_ms=call.deadline_ms - now_ms,
             gap_ms=None,
-            max_attempts=_MOST_ATTEMPTS,
+            max_attempts=_MAX_ATTEMPTS,
             resume_after=None,
             payload=call,
         )
@@ -221,5 +221,5 @@
     )
 
 
-def _ignore(_backend):
+def _ignore_moved(_backend):
     """Take what the list of instances will tell."""
--- a/crankchute/core/single_flow.py
+++ b/crankchute/core/single_flow.py
@@ -7,7 +7,7 @@
 
 from crankchute.core.forward_attempt import Attempt
 from crankchute.core.forward_flow import ForwardFlow
-from crankchute.core.frames import FrameFate, FrameMatcher
+from crankchute.core.frames import FrameMatch, FrameMatcher
 from crankchute.errors import BackendError
 from crankchute.ports.engines import EngineListener, GenerateOrder
 from crankchute.ports.forwarding import (
@@ -18,8 +18,8 @@
     StreamEvent,
 )
 
-_OK = 200
-_FAILED = 'engine_failed'
+_HTTP_OK = 200
+_ENGINE_FAILED = 'engine_failed'
 
 
 class CompletionCall(EngineListener):
@@ -57,7 +57,7 @@
           backend: A Backend.
           order: A GenerateOrder.
         """
-        self._listener.on_head(AnswerHead(_OK))
+        self._listener.on_head(AnswerHead(_HTTP_OK))
         self._call = engines.generate(backend, order, self)
 
     def cancel(self):
@@ -67,13 +67,13 @@
 
     def on_frame(self, frame):
         """See EngineListener."""
-        fate = self._matcher.match(frame)
-        if fate == FrameFate.TAKEN:
+        match = self._matcher.match(frame)
+        if match == FrameMatch.ACCEPTED:
             event = StreamEvent(self._matcher.offset, frame.tokens)
             self._listener.on_event(event)
-        elif fate == FrameFate.END:
+        elif match == FrameMatch.END:
             self._listener.on_end()
-        elif fate == FrameFate.GAP:
+        elif match == FrameMatch.GAP:
             self.cancel()
             text = 'a part of the stream is missing'
             self._listener.on_failed(BackendError(text, sent=True))
@@ -125,7 +125,7 @@
 class CompletionSink(AnswerSink):
     """Hands the events of a completion to a RequestSink as tokens."""
 
-    __slots__ = ('_count', '_sink')
+    __slots__ = ('_sink', '_token_count')
 
     def __init__(self, sink):
         """Create the sink.
@@ -134,7 +134,7 @@
           sink: A RequestSink.
         """
         self._sink = sink
-        self._count = 0
+        self._token_count = 0
 
     def on_answer(self, head, body):
         """See AnswerSink; completions have no such answers."""
@@ -144,13 +144,13 @@
 
     def on_event(self, event):
         """See AnswerSink; an event's number is the offset after it."""
-        self._count = event.number
+        self._token_count = event.number
         tokens = event.payload
         self._sink.on_tokens(event.number - len(tokens), tokens)
 
     def on_end(self):
         """See AnswerSink."""
-        self._sink.on_end(self._count)
+        self._sink.on_end(self._token_count)
 
     def on_refused(self, refusal):
         """See AnswerSink."""
@@ -164,7 +164,7 @@
       first_ms: When the first token came, or None.
     """
 
-    unfinished_hint_ms = 200
+    unfinished_retry_after_ms = 200
 
     def __init__(self, job, desk, sink):
         """Create a flow; start() queues it, run() sends it.
@@ -209,26 +209,26 @@
         """Try elsewhere within the retry budget, or end."""
         self._note_failed(attempt, exc)
 
-        def go_on():
+        def retry_or_fail():
             if self.ended or self._ends_if_held():
                 return
             if self._desk.take_retry(self.job):
                 self._go_on_elsewhere()
             else:
-                self._give_up(_FAILED, str(exc))
+                self._fail(_ENGINE_FAILED, str(exc))
 
-        self._after_failure(attempt, exc, go_on)
+        self._after_failure(attempt, exc, retry_or_fail)
 
     def _go_on_elsewhere(self):
         """Send the request to another engine after a failure."""
-        self._try_next(_FAILED)
+        self._try_next(_ENGINE_FAILED)
 
     def _ends_if_held(self):
         """End a request that crashes engines; tell whether it did."""
         refusal = self._desk.crash_watch.find_refusal(self.job.fingerprint)
         if refusal is None:
             return False
-        self._give_up(refusal.code, refusal.text, refusal.retry_after_ms)
+        self._fail(refusal.code, refusal.text, refusal.retry_after_ms)
         return True
 
     def _launch(self, placement):
