--- a/crankchute/core/frames_test.py
+++ b/crankchute/core/frames_test.py
@@ -18,7 +18,7 @@
 
 
 @pytest.mark.parametrize(
-    ('frame', 'result'),
+    ('frame', 'expected'),
     [
         (_frame(2), FrameMatch.ACCEPTED),
         (_frame(2, request_id='x'), FrameMatch.DROPPED),
@@ -31,12 +31,12 @@
         (_frame(count=2, attempt=2), FrameMatch.DROPPED),
     ],
 )
-def test_match_after_two_tokens(frame, result):
+def test_match_after_two_tokens(frame, expected):
     """Only the next frame or an end frame with the right count matches."""
     matcher = FrameMatcher('r', 1, 0)
     matcher.match(_frame(0))
     matcher.match(_frame(1))
-    assert matcher.match(frame) == result
+    assert matcher.match(frame) == expected
 
 
 def test_resumed_attempt_starts_at_given_offset():
