--- a/crankchute/core/forward_job.py
+++ b/crankchute/core/forward_job.py
@@ -1,19 +1,18 @@
-"""A request that is forwarded as it came, as the core sees it."""
+"""Forwarded requests, their attempts and their placement."""
 
 import enum
 
-#: The rank of a request at an engine when nothing says otherwise.
 _DEFAULT_PRIORITY = 5
 
 
 class Repeat(enum.Enum):
-    """What a request allows after it may have started at a server."""
+    """How a request may be retried after it may have started at a server."""
 
-    #: It may start once.
+    #: It must not be started again.
     ONCE = 'once'
-    #: It may start again elsewhere.
+    #: It may be started again at another server.
     AGAIN = 'again'
-    #: It is a stream that may be taken up elsewhere at an event.
+    #: It is a stream that may be resumed at another server after an event.
     RESUME = 'resume'
 
 
@@ -21,50 +20,45 @@
     """The size of a prompt and of its answer, in tokens.
 
     Attributes:
-      prompt: Tokens in, an int.
-      answer: The most tokens out, an int.
+      prompt: The number of input tokens.
+      answer: The maximum number of output tokens.
     """
 
     __slots__ = ('answer', 'prompt')
 
     def __init__(self, prompt, answer):
-        """Create the size.
-
-        Args:
-          prompt: Tokens in.
-          answer: The most tokens out.
-        """
+        """Create the size; see the class for the arguments."""
         self.prompt = prompt
         self.answer = answer
 
     @property
     def memory(self):
-        """How many tokens of KV memory it needs in the end, an int."""
+        """The tokens of KV memory needed when the answer is complete."""
         return self.prompt + self.answer
 
 
 class ForwardJob:
-    """A checked request on its way to a backend server.
+    """A validated request that is forwarded to a backend server.
 
     Attributes:
       request_id: The caller's id of this submission, a string.
-      fingerprint: An int that all submissions of the same request have: those
-        of one client account with the same path and body.
-      pool: The name of the pool of backend servers that serves it.
+      fingerprint: An int hash of client account, path and body, equal for all
+        submissions of the same request.
+      pool: The name of the pool of backend servers that serves the request.
       repeat: A Repeat.
-      is_stream: Whether the answer is a stream of events, a bool.
-      is_keyed: Whether it was let in by a key that may be revoked, a bool.
+      is_stream: Whether the answer is a stream of events.
+      is_keyed: Whether the request was authorized by a revocable key.
       account: The client account's name, or None.
       size: A PromptSize, or None for a plain service.
-      priority: 0 (first) to 9.
-      arrived_ms: When it came, on this process's clock.
-      deadline_ms: When the last answer must be given, on the same clock.
-      goal_ms: Milliseconds from arrival within which an answer (of a stream,
-        its first event) has its full worth.
-      gap_ms: The longest pause between events of full worth, in milliseconds.
-      max_attempts: To how many servers it may be sent.
-      resume_after: The last event that the caller has, an int, or None.
-      payload: What the port needs to send it; opaque to the core.
+      priority: From 0 (highest) to 9.
+      arrived_ms: The arrival time on this process's clock.
+      deadline_ms: The deadline of the whole answer on the same clock.
+      goal_ms: The target latency of the answer, or of the first event of a
+        stream, in milliseconds from arrival.
+      gap_ms: The target for the longest gap between events, in milliseconds.
+      max_attempts: The maximum number of servers to try.
+      resume_after: The id of the last event that the caller received, or None.
+      payload: Data for the port that sends the request; opaque to the core.
     """
 
     __slots__ = (
@@ -90,86 +84,76 @@
         """Create a job.
 
         Args:
-          fields: A value for each attribute.
+          fields: The value of each attribute.
         """
         for name in self.__slots__:
             setattr(self, name, fields[name])
 
     @property
     def may_repeat(self):
-        """Whether it may start again after it may have started, a bool."""
+        """Whether the request may be retried after it may have started."""
         return self.repeat != Repeat.ONCE
 
     def remaining_ms(self, now_ms):
         """Return the milliseconds until the deadline.
 
         Args:
-          now_ms: The time on this process's clock.
+          now_ms: The current time on this process's clock.
         """
         return self.deadline_ms - now_ms
 
 
 class AttemptOrder:
-    """What one attempt tells the backend server.
+    """The attempt metadata that is sent to the backend server.
 
     Attributes:
-      number: Counts the attempts of the request from 1.
-      remaining_ms: Milliseconds left for the whole request.
-      resume_after: The last event that the caller has, an int, or None.
+      number: The attempt number, starting at 1.
+      remaining_ms: The milliseconds until the request's deadline.
+      resume_after: The id of the last event that the caller received, or None.
     """
 
     __slots__ = ('number', 'remaining_ms', 'resume_after')
 
     def __init__(self, number, remaining_ms, resume_after):
-        """Create the order.
-
-        Args:
-          number: An int.
-          remaining_ms: Milliseconds.
-          resume_after: An int or None.
-        """
+        """Create the order; see the class for the arguments."""
         self.number = number
         self.remaining_ms = remaining_ms
         self.resume_after = resume_after
 
 
 class Helper:
-    """A server that reads a part of a prompt for another one.
+    """A server that prefills part of a prompt for another server.
 
     Attributes:
       backend: A Backend.
-      ticket: The id of memory that is set aside there, or None.
-      tokens: How much of it, 0 without a ticket.
+      ticket: The id of a memory reservation there, a string, or None.
+      tokens: The size of the reservation in tokens, 0 without a ticket.
     """
 
     __slots__ = ('backend', 'ticket', 'tokens')
 
     def __init__(self, backend, ticket=None, tokens=0):
-        """Create the record.
-
-        Args:
-          backend: A Backend.
-          ticket: A string or None.
-          tokens: An int.
-        """
+        """Create the record; see the class for the arguments."""
         self.backend = backend
         self.ticket = ticket
         self.tokens = tokens
 
 
 class Beliefs:
-    """What was believed of a chosen server when it was chosen.
+    """The estimated state of a server at the time when it was chosen.
+
+    The attribute names are also the names under which the estimates are logged.
 
     Attributes:
-      wait_ms: How long prompts before this one would still be read there.
-      writers: How many requests write there.
-      lacking: How many of them must end before this one gets a slot.
-      memory: How many tokens of its memory are taken.
-      slowness: How much slower than published it seems to be.
-      risk: How likely a request fails there, from 0 to 1.
-      cost: What the placement was thought to cost, in worth.
-      heard_ms_ago: How long ago another instance was last heard from, which
-        is how old the beliefs about its requests may be, or None.
+      wait_ms: The time to prefill the prompts that are queued there.
+      writers: The number of requests that are decoding.
+      lacking: How many of those must finish before this request gets a slot.
+      memory: The tokens of KV memory in use.
+      slowness: The estimated slowdown relative to the published speed.
+      risk: The probability that a request fails there, from 0 to 1.
+      cost: The estimated cost of the placement.
+      heard_ms_ago: The time since the last message from another instance,
+        which bounds the age of the estimates of its requests, or None.
     """
 
     __slots__ = (
@@ -187,13 +171,13 @@
         """Create the record.
 
         Args:
-          fields: A value for each attribute.
+          fields: The value of each attribute.
         """
         for name in self.__slots__:
             setattr(self, name, fields[name])
 
     def describe(self):
-        """Return the beliefs as a map of numbers, rounded for people."""
+        """Return a dict of the estimates, rounded for display."""
         rounded = {}
         for name in self.__slots__:
             estimate = getattr(self, name)
@@ -202,15 +186,15 @@
 
 
 class Placement:
-    """Where an attempt runs, as a chooser decided.
+    """The servers that a chooser selected for an attempt.
 
     Attributes:
-      backend: The Backend that gets the request.
+      backend: The Backend that receives the request.
       helpers: A tuple of Helper.
       first_ms: The predicted milliseconds to the first event, or None.
-      key: What the chooser knows this placement by; opaque to others.
-      priority: The rank at the engine, 0 (first) to 9.
-      beliefs: The Beliefs that decided it, or None.
+      key: The chooser's identifier of this placement; opaque to others.
+      priority: The priority at the engine, from 0 (highest) to 9.
+      beliefs: The Beliefs on which the choice was based, or None.
     """
 
     __slots__ = (
@@ -223,14 +207,7 @@
     )
 
     def __init__(self, backend, *, first_ms=None, helpers=(), key=None):
-        """Create the placement.
-
-        Args:
-          backend: A Backend.
-          first_ms: Milliseconds or None.
-          helpers: A tuple of Helper.
-          key: See the class.
-        """
+        """Create a placement; see the class for the arguments."""
         self.backend = backend
         self.first_ms = first_ms
         self.helpers = helpers
@@ -239,13 +216,14 @@
         self.beliefs = None
 
     def find_rejecting_server(self, at_server):
-        """Return the server that a rejection blames.
+        """Return the server that rejected the request.
 
         Args:
-          at_server: Its id or its address "IP:port", or None if it is the
-            one that was asked.
+          at_server: The server's id or address "IP:port", or None for the
+            server that received the request.
         Returns:
-          A Backend: a helper's if one has that id or address.
+          The Backend of the helper with that id or address, if there is one;
+          else that of the server that received the request.
         """
         for helper in self.helpers:
             host, port = helper.backend.listed.address
@@ -255,7 +233,7 @@
         return self.backend
 
     def uses(self, backend):
-        """Tell whether the attempt needs a server, as a helper or otherwise.
+        """Return whether a server takes part, as a helper or otherwise.
 
         Args:
           backend: A Backend.
@@ -266,5 +244,5 @@
 
     @property
     def tickets(self):
-        """The helpers at which memory is set aside, a list of Helper."""
+        """The list of the Helpers that have a memory reservation."""
         return [one for one in self.helpers if one.ticket is not None]
