--- a/crankchute/core/attempt_context.py
+++ b/crankchute/core/attempt_context.py
@@ -1,15 +1,18 @@
-"""What an attempt tells the desk that made it, where a desk need not care."""
+"""Default implementations of the callbacks that flows and attempts use."""
 
-#: When to come back after a server took nothing, in milliseconds: about what
-#: the oldest of its requests still takes.
+#: Retry hint after a rejection, in milliseconds: about the time that the oldest
+#: request of a full server still takes.
 DEFAULT_RETRY_AFTER_MS = 300
 
 
 class AttemptContext:
-    """A desk of attempts; its defaults take what nobody asks for."""
+    """Base class of the context of flows and attempts.
+
+    The hooks do nothing unless a subclass overrides them.
+    """
 
     def choose_retry_after_ms(self, _job):
-        """Return when the caller of a job that did not run may come back.
+        """Return the retry hint for the caller of a job that did not run.
 
         Args:
           _job: A ForwardJob.
@@ -19,7 +22,7 @@
         return DEFAULT_RETRY_AFTER_MS
 
     def overdue_at_ms(self, flow, attempt):
-        """Return when an attempt without any answer is a sign of a fault.
+        """Return when an attempt without an event counts as overdue.
 
         Args:
           flow: A ForwardFlow.
@@ -28,13 +31,13 @@
         return flow.job.deadline_ms
 
     def note_load(self, flow, attempt, load):
-        """Note the SeenLoad that a server told with its answer."""
+        """Record the SeenLoad that a server reported with its answer."""
 
     def note_attempt_end(self, flow, attempt, cause):
-        """Note how an attempt ended, by its cause."""
+        """Record the end of an attempt and its cause."""
 
     def note_freed(self, flow, placement):
-        """Note that a job is no longer where it was placed."""
+        """Record that a placement no longer uses its servers."""
 
     def note_left(self, flow, attempt):
-        """Note that a job that was sent is no longer at its server."""
+        """Record that a job that was sent is no longer at its server."""
