--- a/crankchute/core/flow_desk.py
+++ b/crankchute/core/flow_desk.py
@@ -1,4 +1,4 @@
-"""What the flows of requests ask for: engines, retries, and their turn."""
+"""Engine selection, retries and queueing for the flows of completions."""
 
 from crankchute.core.attempt_context import AttemptContext
 from crankchute.core.candidates import is_usable
@@ -14,21 +14,22 @@
 MIN_RETRY_AFTER_MS = 200
 _PENDING_WINDOW_MS = 250
 _REQUEUE_DELAY_MS = 40
-#: How long an engine may be silent, before the first token and between two.
+#: How long an engine may be silent between two tokens.
 _STALL_TIMEOUT_MS = 2500
+#: Before the first token, this multiple of the predicted time is added.
 _FIRST_TOKEN_FACTOR = 3
 
 
 class FlowDesk(AttemptContext):
-    """What flows ask of the dispatcher: choices, retries, queueing."""
+    """The interface between a dispatcher and its flows."""
 
     def __init__(self, dispatcher, ports, data_centre):
-        """Create the desk of a dispatcher.
+        """Create the interface of a dispatcher.
 
         Args:
           dispatcher: The Dispatcher.
           ports: The Ports.
-          data_centre: Where this instance runs.
+          data_centre: The name of the data centre of this instance.
         """
         self._dispatcher = dispatcher
         self._random = ports.random
@@ -56,12 +57,12 @@
         )
 
     def choose(self, job, avoided):
-        """Choose an engine with room for a job.
+        """Choose an engine with capacity for a job.
 
         Args:
           job: The Job.
-          avoided: Ids of engines that failed it; used only if no other is
-            left.
+          avoided: Ids of engines where the job failed; used only if there is
+            no other candidate.
         Returns:
           A Placement, or None if the job must wait.
         """
@@ -77,13 +78,13 @@
         return Placement(backend, first_ms=first_ms)
 
     def choose_group(self, job, avoided):
-        """Choose the engines for a prompt beyond one engine's memory.
+        """Choose the engines for a prompt that exceeds one engine's memory.
 
         Args:
           job: The Job.
-          avoided: Ids of engines that failed it.
+          avoided: Ids of engines where the job failed.
         Returns:
-          A list of Backend in the order of their ids, or None.
+          A list of Backend sorted by id, or None.
         """
         members = self._dispatcher.group_candidates(job, avoided)
         size = self._dispatcher.group_size(job)
@@ -97,11 +98,11 @@
         return sorted(members[:size], key=_identity_of)
 
     def choose_spare(self, job, used):
-        """Choose an engine to replace a lost one.
+        """Choose a replacement for a failed member of a group.
 
         Args:
           job: The Job.
-          used: Ids of engines that cannot be taken.
+          used: Ids of engines that are excluded.
         Returns:
           A Backend or None.
         """
@@ -109,28 +110,28 @@
         return max(spares, key=_free_memory, default=None)
 
     def predict_ms(self, backend, job):
-        """Predict the time to a job's first token on an engine."""
+        """Return the predicted milliseconds to a job's first token."""
         return estimate_start_ms(backend, self.view(job))
 
     def is_usable(self, backend, job):
-        """Tell whether an engine may get work for a job."""
+        """Return whether an engine may receive work for a job."""
         return is_usable(backend, job.model, self.timers.clock.now_ms())
 
     def count_tokens(self, job, part):
-        """Return the length of a part of a job's prompt, in tokens."""
+        """Return the tokens of a prompt segment plus the answer's maximum."""
         share = len(part) / max(len(job.prompt), 1)
         return int(job.tokens * share) + job.max_tokens + 1
 
     def now_ms(self):
-        """Return the time on this process's clock."""
+        """Return the current time on this process's clock."""
         return self.timers.clock.now_ms()
 
     def after(self, delay_ms, callback):
-        """Run a callback later; see TimerService."""
+        """Schedule a callback; see TimerService."""
         return self.timers.after(delay_ms, callback)
 
     def silent_until_ms(self, flow, attempt):
-        """Return until when an attempt's engine may be silent."""
+        """Return the time at which a silent attempt counts as stalled."""
         allowed_ms = _STALL_TIMEOUT_MS
         if not attempt.started:
             first_ms = attempt.placement.first_ms
@@ -138,20 +139,20 @@
         return attempt.heard_ms + allowed_ms
 
     def take_retry(self, job):
-        """Take a retry from the budget of a job's account, if there is one."""
+        """Take a retry from the account's budget; return False if it is empty."""
         taken = self._dispatcher.take_retry(job)
         if taken:
             self.metrics.count('retries')
         return taken
 
     def note_attempt(self, flow, attempt, cause):
-        """Note that a job is sent to an engine."""
+        """Record that a job is sent to an engine."""
         job = flow.job
         attempt.backend.note_sent(job.engine_priority, job.tokens)
         attempt.backend.serving_long += job.is_long
 
     def note_first(self, flow, attempt):
-        """Note an attempt's first token; an engine has room again."""
+        """Record an attempt's first token, which frees engine capacity."""
         job = flow.job
         now_ms = self.now_ms()
         attempt.backend.note_answered(job.engine_priority, job.tokens)
@@ -161,41 +162,41 @@
         self._dispatcher.pump()
 
     def note_left(self, flow, attempt):
-        """Note that a job that was sent is no longer at its engine."""
+        """Record that a job that was sent is no longer at its engine."""
         job = flow.job
         attempt.backend.serving_long -= job.is_long
         if not attempt.started:
             attempt.backend.note_answered(job.engine_priority, job.tokens)
 
     def note_rejection(self, flow, attempt, rejection):
-        """Leave an engine alone until the time it asked for."""
+        """Pause an engine for the time that it asked for."""
         self.metrics.count('engine_refusals', rejection.code)
         self.leave_alone(attempt.backend, rejection.retry_after_ms)
 
     def leave_alone(self, backend, pause_ms):
-        """Send nothing to an engine for a while.
+        """Send no requests to an engine for some time.
 
         Args:
           backend: A Backend.
-          pause_ms: Milliseconds, or None.
+          pause_ms: Milliseconds, or None for no pause.
         """
         if pause_ms:
             backend.leave_alone(self.now_ms() + pause_ms)
 
     def note_dropped(self, flow, attempt):
-        """Count an event that the caller had already."""
+        """Count an event that the caller already received."""
         self.metrics.count('frames_dropped')
 
     def note_end(self, flow, outcome, code):
-        """Note the end of a request."""
+        """Record the end of a request."""
         self._dispatcher.note_end(flow, outcome)
 
     def enqueue(self, flow):
-        """Let a flow wait for its turn."""
+        """Add a flow to the queue."""
         self._dispatcher.enqueue(flow)
 
     def requeue(self, flow):
-        """Let a flow wait again, after a short random pause."""
+        """Add a flow to the queue again after a short, jittered delay."""
         pause_ms = _REQUEUE_DELAY_MS * (1 + self._random.random())
         self.timers.after(pause_ms, lambda: self._dispatcher.enqueue(flow))
 
