--- a/crankchute/core/forward_desk.py
+++ b/crankchute/core/forward_desk.py
@@ -1,8 +1,8 @@
-"""The forwarding engine: takes requests, and answers what flows ask for.
+"""Accepts forwarded requests and provides their flows with shared services.
 
-Which backend server gets a request is decided by a chooser; choosers are in
-a registry, one for pools of model engines and one for plain services, beside
-baselines that experiments compare them with.
+A chooser selects the backend server of each attempt.  The registry of choosers
+has one for pools of model engines, one for plain services, and baselines for
+experiments.
 """
 
 from crankchute.core.attempt_context import (
@@ -19,7 +19,7 @@
 
 
 class ForwardDesk(AttemptContext):
-    """Serves forwarded requests and knows those in progress.
+    """Serves forwarded requests and tracks those in progress.
 
     Attributes:
       port: The ForwardPort.
@@ -27,16 +27,17 @@
       journal: A ForwardJournal, which logs decisions.
       crash_watch: The CrashWatch.
       lending: The TurnLending.
-      chooser_of: A function from a pool's name to a Chooser or None.
+      chooser_of: A function that maps a pool name to a Chooser or None.
     """
 
     def __init__(self, ports, limits, ended_counter='requests_ended'):
-        """Create a desk without choosers.
+        """Create an instance without requests.
 
         Args:
           ports: A ForwardPorts.
           limits: RetryLimits.
-          ended_counter: The counter of ended requests, by outcome.
+          ended_counter: The name of the metric that counts ended requests by
+            outcome.
         """
         self._ended_counter = ended_counter
         self._timers = ports.timers
@@ -61,17 +62,17 @@
 
     @property
     def in_progress(self):
-        """How many requests have not ended, an int."""
+        """The number of requests in progress."""
         return len(self._flows)
 
     def submit(self, job, sink):
-        """Start to serve a request.
+        """Start serving a request.
 
         Args:
           job: A ForwardJob.
-          sink: An AnswerSink; its end is told exactly once.
+          sink: An AnswerSink; it receives exactly one end.
         Returns:
-          A ForwardFlow, whose cancel() gives the request up.
+          A ForwardFlow, whose cancel() cancels the request.
         """
         self.journal.log_request(job)
         self._budget(job).note_request(self.now_ms())
@@ -81,20 +82,22 @@
         return flow
 
     def note_instances(self, count):
-        """Note how many instances share the retry budget.
+        """Set the number of instances that share the retry budget.
+
+        The number never decreases.
 
         Args:
-          known: An int.
+          count: An int.
         """
         self._instances = max(self._instances, count)
         for budget in self._budgets.values():
             budget.note_instances(count)
 
     def note_restarted(self, backend):
-        """Note that a server started again, and runs nothing of before.
+        """End the attempts at a server that restarted.
 
         Args:
-          backend: The Backend of the start that is over.
+          backend: The Backend of the previous incarnation.
         """
         for flow in tuple(self._flows):
             attempt = flow.attempt
@@ -102,7 +105,7 @@
                 attempt.end_restarted(backend)
 
     def change_limits(self, limits):
-        """Take other retry limits; what was used stays used.
+        """Change the retry limits without resetting the usage.
 
         Args:
           limits: RetryLimits.
@@ -112,24 +115,24 @@
             budget.change_limits(limits)
 
     def now_ms(self):
-        """Return the time on this process's clock."""
+        """Return the current time on this process's clock."""
         return self._timers.clock.now_ms()
 
     def after(self, delay_ms, callback):
-        """Run a callback later; see TimerService."""
+        """Schedule a callback; see TimerService."""
         return self._timers.after(delay_ms, callback)
 
     def choose_retry_after_ms(self, job):
-        """See AttemptContext; who is refused together comes back apart."""
+        """See AttemptContext; hints are jittered to spread out retries."""
         remaining_ms = job.remaining_ms(self.now_ms())
         return self._hints.choose_ms(remaining_ms, DEFAULT_RETRY_AFTER_MS)
 
     def choose(self, flow, avoided):
-        """Choose where a request's next attempt runs.
+        """Choose the servers of a request's next attempt.
 
         Args:
           flow: A ForwardFlow.
-          avoided: Ids of servers that it must not be sent to again.
+          avoided: Ids of servers to which the request must not be sent.
         Returns:
           A Placement, or a Refusal.
         """
@@ -151,32 +154,32 @@
         return choice
 
     def silent_until_ms(self, flow, attempt):
-        """Return until when an attempt's server may be silent, or None."""
+        """Return the time when a silent attempt counts as stalled, or None."""
         chooser = self.chooser_of(flow.job.pool)
         if chooser is None:
             return None
         return chooser.silent_until_ms(flow.job, attempt)
 
     def overdue_at_ms(self, flow, attempt):
-        """Return when an attempt without any answer is a sign of a fault."""
+        """Return when an attempt without an event counts as overdue."""
         chooser = self.chooser_of(flow.job.pool)
         if chooser is None:
             return flow.job.deadline_ms
         return chooser.overdue_at_ms(flow.job, attempt)
 
     def take_retry(self, job):
-        """Take a retry of a job's pool from the budget, if there is one."""
+        """Take a retry from the pool's budget; return False if it is empty."""
         taken = self._budget(job).take(self.now_ms())
         self.metrics.count('retries' if taken else 'retries_denied')
         return taken
 
     def reserve(self, flow, placement, on_done):
-        """Set aside the memory that a placement needs; see ReservationDesk.
+        """Reserve the memory that a placement needs at its helpers.
 
         Args:
-          flow: The ForwardFlow that needs it.
+          flow: The ForwardFlow.
           placement: A Placement with tickets.
-          on_done: A function of the Helpers that set nothing aside.
+          on_done: A function of the Helpers that refused the reservation.
         Returns:
           A Reservation.
         """
@@ -187,17 +190,17 @@
         )
 
     def note_freed(self, flow, placement):
-        """Note that a job is no longer where it was placed."""
+        """Record that a placement no longer uses its servers."""
         chooser = self.chooser_of(flow.job.pool)
         if chooser is not None:
             chooser.note_end(flow.job, placement)
 
     def note_attempt(self, flow, attempt, cause):
-        """Note that a request is sent to a server."""
+        """Record that a request is sent to a server."""
         self.journal.log_attempt(flow, attempt, cause)
 
     def note_first(self, flow, attempt):
-        """Note that a server began to answer with an event."""
+        """Record the first event of an attempt and its prediction error."""
         placement = attempt.placement
         chooser = self.chooser_of(flow.job.pool)
         if chooser is not None:
@@ -211,31 +214,31 @@
             chooser.note_pace(placement, actual_ms)
 
     def note_load(self, flow, attempt, load):
-        """Note the load that a server told with its answer."""
+        """Record the load that a server reported with its answer."""
         chooser = self.chooser_of(flow.job.pool)
         if chooser is not None:
             chooser.note_load(attempt.backend, load)
 
     def note_attempt_end(self, flow, attempt, cause):
-        """Note that an attempt ended."""
+        """Record the end of an attempt."""
         self.journal.log_attempt_end(flow, attempt, cause)
 
     def note_rejection(self, flow, attempt, rejection):
-        """Note that a server did not take a request."""
+        """Record that a server rejected a request."""
         self.metrics.count('engine_refusals', rejection.code)
         server = attempt.placement.find_rejecting_server(rejection.at_server)
         if rejection.code == MOVED:
             self._note_moved(server)
         elif rejection.retry_after_ms:
-            # A helper that wants rest says so through the one that was asked.
+            # A helper's pause is reported by the server that got the request.
             server.leave_alone(self.now_ms() + rejection.retry_after_ms)
 
     def note_dropped(self, flow, attempt):
-        """Count an event that the caller had already."""
+        """Count an event that the caller already received."""
         self.metrics.count('frames_dropped')
 
     def note_end(self, flow, outcome, code):
-        """Note that a request ended."""
+        """Record the end of a request."""
         self._flows.discard(flow)
         self.metrics.count(self._ended_counter, outcome.value)
         waited_ms = self.now_ms() - flow.job.arrived_ms
@@ -256,15 +259,15 @@
 
 
 def choose_alone(chooser, job, avoided):
-    """Choose where a request runs under which a server crashed.
+    """Choose a server for a request that is suspected of crashing servers.
 
-    A server that works for nobody else is taken if there is any: if that ends
-    too, no other answer is broken off, and nobody else can be the cause.
+    An idle server is preferred: if it crashes as well, no other request is
+    interrupted, and no other request can be the cause.
 
     Args:
       chooser: A Chooser.
       job: A ForwardJob.
-      avoided: A set of ids of servers that must not be asked.
+      avoided: A set of ids of excluded servers.
     Returns:
       A Placement, or a Refusal.
     """
@@ -275,7 +278,7 @@
 
 
 class ForwardPorts:
-    """What a desk works with."""
+    """The dependencies of a ForwardDesk."""
 
     __slots__ = (
         'chooser_of',
@@ -290,16 +293,17 @@
     )
 
     def __init__(self, **fields):
-        """Gather the ports.
+        """Create the record.
 
         Args:
           fields: `forward`, a ForwardPort; `timers`, a TimerService;
             `metrics`, a Metrics port; `journal`, a ForwardJournal;
             `reservations`, a ReservationDesk; `hints`, ReturnHints;
             `crashes`, a CrashLedger;
-            `chooser_of`, a function from a pool's name to a Chooser or None;
-            `note_moved`, a function of a Backend that is no more at its
-            address, as whoever is there now says.
+            `chooser_of`, a function that maps a pool name to a Chooser or
+            None;
+            `note_moved`, a function of a Backend whose address another server
+            has taken over, as that server reported.
         """
         for name in self.__slots__:
             setattr(self, name, fields[name])
