--- a/crankchute/core/forward_attempt.py
+++ b/crankchute/core/forward_attempt.py
@@ -1,23 +1,24 @@
-"""One submission of a forwarded request to one backend server."""
+"""One attempt to send a forwarded request to a backend server."""
 
 from crankchute.core.forward_job import AttemptOrder
 from crankchute.errors import BackendError
 from crankchute.ports.forwarding import AttemptListener
 
 FIRST_SERVER_ERROR = 500
-#: An error that a server gives may be the request's fault as well.
+#: A 5xx answer may be caused by the request, so it counts less than a failure
+#: of the server.
 _SERVER_ERROR_WEIGHT = 0.5
 
 
 class Attempt(AttemptListener):
-    """One submission: its reserved memory, then the call; ends once.
+    """One attempt: reserves memory if needed, then sends; ends once.
 
     Attributes:
       placement: The Placement.
-      sent_ms: When it was sent, or None before.
-      first_ms: When the server sent its first event, or None before.
-      heard_ms: When it was sent, or its server last sent an event.
-      longest_gap_ms: The longest pause between two events, in milliseconds.
+      sent_ms: When the request was sent, or None.
+      first_ms: When the first event arrived, or None.
+      heard_ms: When the last event arrived, or else when the request was sent.
+      longest_gap_ms: The longest gap between two events, in milliseconds.
     """
 
     __slots__ = (
@@ -38,11 +39,11 @@
     )
 
     def __init__(self, flow, desk, placement):
-        """Create an attempt; start() begins it.
+        """Create an attempt; start() reserves memory and sends the request.
 
         Args:
           flow: The ForwardFlow.
-          desk: The ForwardDesk.
+          desk: The ForwardDesk, or another AttemptContext.
           placement: A Placement.
         """
         self._flow = flow
@@ -62,16 +63,16 @@
 
     @property
     def started(self):
-        """Whether the server sent an event, a bool."""
+        """Whether the server has sent an event."""
         return self.first_ms is not None
 
     @property
     def backend(self):
-        """The Backend that is asked."""
+        """The Backend that receives the request."""
         return self.placement.backend
 
     def start(self):
-        """Set aside the memory that the placement needs, and send."""
+        """Reserve the memory that the placement needs, then send."""
         if self.placement.tickets:
             self._reservation = self._desk.reserve(
                 self._flow,
@@ -82,10 +83,10 @@
             self._send()
 
     def cancel(self):
-        """Give the attempt up; the flow hears nothing more of it.
+        """Cancel the attempt; the flow receives no more callbacks.
 
         Returns:
-          True if it may have reached its server and had not ended.
+          True if the attempt was open and may have reached its server.
         """
         if not self._close():
             return False
@@ -96,12 +97,12 @@
         return self._call.sent
 
     def end_restarted(self, backend):
-        """End the attempt since a server that it needs started again.
+        """End the attempt because a server that it uses restarted.
 
-        Its connection may stay silent until it is probed, after 2.5 s.
+        A dead connection would otherwise go unnoticed until the next probe.
 
         Args:
-          backend: The Backend that is over.
+          backend: The Backend of the previous incarnation.
         """
         if not self._close():
             return
@@ -199,10 +200,10 @@
         self._call = self._desk.port.send(job, self.placement, order, self)
 
     def _arm_watchdog(self):
-        """Wait until the server is overdue, or has been silent for too long.
+        """Wait until the server is overdue or has stalled.
 
-        A timer for each event would cost more than the event; one timer is
-        set again when it ends and finds that the server may still be silent.
+        The timer is rearmed only when it expires, since a timer reset for each
+        event would be too expensive.
         """
         stalled_at_ms = self._stalled_at_ms()
         checks_overdue = not self.started and not self._is_overdue
@@ -222,10 +223,10 @@
             self._fail_stalled()
 
     def _stalled_at_ms(self):
-        """Return until when the server may be silent, or None.
+        """Return the time when a silent server counts as stalled, or None.
 
-        Memory that is set aside must be used or given back: engines that hung
-        had it kept at their helpers until the caller left, for over 10 s.
+        Unused reservations have a limit of their own, so that a hung engine
+        does not tie up memory at its helpers until the caller disconnects.
         """
         until_ms = self._desk.silent_until_ms(self._flow, self)
         if self._reservation is None or self.started:
@@ -234,7 +235,7 @@
         return unused_ms if until_ms is None else min(until_ms, unused_ms)
 
     def _note_overdue(self):
-        """Suspect a server whose first event should have come long ago."""
+        """Record a suspected failure, since the first event is overdue."""
         self._is_overdue = True
         self.backend.suspicion.note_failure(self._desk.now_ms())
 
