--- a/crankchute/core/dispatcher.py
+++ b/crankchute/core/dispatcher.py
@@ -19,19 +19,19 @@
 
 
 class Ports:
-    """What a dispatcher works with."""
+    """The dependencies of a Dispatcher."""
 
     __slots__ = ('crashes', 'engines', 'metrics', 'random', 'timers')
 
     def __init__(self, *, engines, timers, random, metrics, crashes=None):
-        """Gather the ports.
+        """Create the record.
 
         Args:
           engines: An EnginePort.
           timers: A TimerService.
           random: A random.Random.
           metrics: A Metrics port.
-          crashes: The CrashLedger, or None for one of its own.
+          crashes: A CrashLedger, or None to create one.
         """
         if crashes is None:
             crashes = CrashLedger(timers.clock.now_ms)
@@ -43,10 +43,10 @@
 
 
 class Dispatcher:
-    """Serves completions: admits, queues, places, and ends them in time.
+    """Admits, queues and places completions.
 
     Attributes:
-      config: The Config in force.
+      config: The current Config.
       fleet: The Fleet.
     """
 
@@ -57,7 +57,7 @@
           ports: The Ports.
           fleet: The Fleet.
           limits: The AccountLimits.
-          data_centre: Where this instance runs.
+          data_centre: The name of the data centre of this instance.
         """
         self._ports = ports
         self._limits = limits
@@ -73,26 +73,26 @@
 
     @property
     def in_progress(self):
-        """How many requests are admitted and have not ended."""
+        """The number of admitted requests that have not ended."""
         return len(self._flows)
 
     @property
     def waiting(self):
-        """How many of them wait for an engine."""
+        """The number of requests that are waiting for an engine."""
         return len(self._queue)
 
     def now_ms(self):
-        """Return the time on this process's clock."""
+        """Return the current time on this process's clock."""
         return self._ports.timers.clock.now_ms()
 
     def submit(self, job, sink):
-        """Admit a request or refuse it at once.
+        """Admit a request, or refuse it immediately.
 
         Args:
           job: A Job.
-          sink: A RequestSink; its end is told exactly once.
+          sink: A RequestSink; it receives exactly one end.
         Returns:
-          A flow whose cancel is done by cancel(), or None if refused.
+          A flow that can be passed to cancel(), or None if refused.
         """
         refusal = self._check(job)
         if refusal is not None:
@@ -105,11 +105,11 @@
         return flow
 
     def cancel(self, flow):
-        """Give up a request whose caller is gone."""
+        """Cancel a request whose caller has disconnected."""
         flow.cancel()
 
     def enqueue(self, flow):
-        """Start a flow, or let it wait for its turn."""
+        """Add a flow to the queue and start the flows that can start."""
         if flow.ended:
             return
         account = self.config.accounts.get(flow.job.account)
@@ -118,7 +118,10 @@
         self.pump()
 
     def pump(self):
-        """Start the waiting flows that find room, in their order."""
+        """Start waiting flows, in queue order, while engines have capacity.
+
+        A nested call makes the outer one run again instead of recursing.
+        """
         if self._pumping:
             self._pump_again = True
             return
@@ -130,7 +133,7 @@
         self._pumping = False
 
     def note_end(self, flow, outcome):
-        """Free what an ended request used."""
+        """Release the resources of a request that ended."""
         job = flow.job
         if self._flows.pop(job.request_id, None) is None:
             return
@@ -140,22 +143,22 @@
             self._limits.use_of(account).release()
         if outcome == Outcome.OK:
             self._budget(job.account).note_success()
-            # Admission counts with the usual time between tokens.
+            # Admission predicts durations with the mean time between tokens.
             change_ms = flow.token_gap_ms() - self._token_gap_ms
             self._token_gap_ms += _GAP_SMOOTHING * change_ms
         self._ports.metrics.count('requests_ended', outcome.value)
         self.pump()
 
     def take_retry(self, job):
-        """Take one retry from the account's budget, if there is one."""
+        """Take a retry from the account's budget; return False if empty."""
         return self._budget(job.account).take()
 
     def candidates(self, job):
-        """Return the engines that may get a job now."""
+        """Return the engines that may receive a job now."""
         return list_candidates(self.config, self.fleet, job, self.now_ms())
 
     def group_candidates(self, job, avoided):
-        """Return the engines that may be members of a group for a job."""
+        """Return the engines that may join a group for a job."""
         size = self.group_size(job) or 1
         members = list_group_candidates(
             self.config,
@@ -167,7 +170,7 @@
         return [one for one in members if one.identity not in avoided]
 
     def group_size(self, job):
-        """Return how many engines a job's prompt needs, or None."""
+        """Return the number of engines that a job needs, or None."""
         usable = _largest_memory(self.candidates(job))
         if not usable:
             return None
