--- a/crankchute/core/forward_flow.py
+++ b/crankchute/core/forward_flow.py
@@ -1,10 +1,10 @@
-"""One forwarded request on its way: attempts, retries, resumption, its end.
+"""The life cycle of a forwarded request: attempts, retries and resumption.
 
-A request that may start once goes to another server only after a proof that
-it did not start: a refused connection, or the server's own word.  Whatever
-happens after its bytes left without an answer is unknown.  A stream that may
-be resumed is taken up at another server after the last event that the caller
-has; a part of an event is never passed on.
+A non-repeatable request is retried only if it certainly did not start: the
+connection or the server refused it.  Once bytes were sent and no answer
+arrived, its outcome is unknown.  A resumable stream continues at another
+server after the last event that the caller received; incomplete events are
+never forwarded.
 """
 
 from crankchute.core.forward_attempt import FIRST_SERVER_ERROR, Attempt
@@ -13,17 +13,18 @@
 
 
 class ForwardFlow:
-    """Serves one job; its sink is told exactly one end.
+    """Serves one job; its sink receives exactly one end.
 
     Attributes:
       job: The ForwardJob.
       attempt: The Attempt in progress, or None.
-      attempts: How many times the request was sent, an int.
-      delivered: The id of the last event that the caller has, or None.
-      passed: How many events were passed on, an int.
+      attempts: The number of times that the request was sent.
+      delivered: The id of the last event that the caller received, or None.
+      ended: Whether the request has ended.
+      passed: The number of forwarded events.
     """
 
-    #: When to come back after a request that started and did not finish.
+    #: Retry hint in milliseconds for a request that started but did not finish.
     unfinished_retry_after_ms = None
 
     __slots__ = (
@@ -44,11 +45,11 @@
     )
 
     def __init__(self, job, desk, sink):
-        """Create a flow; start() begins it.
+        """Create a flow; start() sends the request.
 
         Args:
           job: A ForwardJob.
-          desk: A ForwardDesk.
+          desk: The ForwardDesk, or another AttemptContext.
           sink: An AnswerSink.
         """
         self._desk = desk
@@ -67,13 +68,13 @@
         self.passed = 0
 
     def start(self):
-        """Send the request and watch its deadline."""
+        """Send the request and start its deadline timer."""
         remaining_ms = self.job.remaining_ms(self.now_ms())
         self._timer = self._desk.after(remaining_ms, self._on_deadline)
         self._try_next(None)
 
     def end(self, refusal):
-        """End the request without an answer.
+        """End the request with a refusal.
 
         Args:
           refusal: A Refusal.
@@ -84,18 +85,18 @@
             self._end(refusal.outcome, refusal.code)
 
     def cancel(self):
-        """Give the request up because its caller is gone."""
+        """Cancel the request because its caller disconnected."""
         if self.ended:
             return
         self._cancel_attempt()
         self._end(Outcome.FAILED, 'caller_gone')
 
     def now_ms(self):
-        """Return the time on this process's clock."""
+        """Return the current time on this process's clock."""
         return self._desk.now_ms()
 
     def on_event(self, attempt, head, event):
-        """Pass an event on, unless the caller has it already."""
+        """Forward an event, unless the caller already received it."""
         if self._expire_if_late():
             return
         if not self._is_new(event):
@@ -110,18 +111,18 @@
         self._sink.on_event(event)
 
     def on_attempt_sent(self, attempt):
-        """Count an attempt that is sent now."""
+        """Count an attempt that is being sent."""
         self.attempts += 1
         self._desk.note_attempt(self, attempt, self._cause)
 
     def on_reservation_refused(self, attempt, refused):
-        """Choose anew when engines set no memory aside."""
+        """Choose other servers after helpers refused to reserve memory."""
         self.attempt = None
         self._avoided.update(one.backend.identity for one in refused)
         self._try_next('no_memory')
 
     def on_attempt_end(self, attempt, head, body):
-        """End with the server's answer, or try again after its failure."""
+        """End with the server's answer, or retry after a 5xx status."""
         self.attempt = None
         self._desk.note_attempt_end(self, attempt, str(head.status))
         self._desk.crash_watch.note_answered(self.job.fingerprint)
@@ -143,7 +144,7 @@
             self._end(outcome, str(head.status))
 
     def on_attempt_not_run(self, attempt, rejection):
-        """Try elsewhere after a server that did not start."""
+        """Retry at another server after a rejection."""
         self.attempt = None
         self._desk.note_attempt_end(self, attempt, rejection.code)
         self._desk.note_rejection(self, attempt, rejection)
@@ -154,14 +155,14 @@
             self._fail(rejection.code, 'no backend server took it')
 
     def on_attempt_failed(self, attempt, exc):
-        """Try elsewhere if that is allowed, or end."""
+        """Retry at another server if that is allowed, or end."""
         self._note_failed(attempt, exc)
         if not exc.sent:
             self.attempts -= 1
             self._try_next('not_connected')
             return
 
-        def go_on():
+        def retry_or_fail():
             if self.ended:
                 return
             watch = self._desk.crash_watch
@@ -172,18 +173,21 @@
             else:
                 self._fail('backend_failed', str(exc))
 
-        self._after_failure(attempt, exc, go_on)
+        self._after_failure(attempt, exc, retry_or_fail)
 
-    def _after_failure(self, attempt, exc, go_on):
-        """Go on once it is known whether the request may be sent again."""
+    def _after_failure(self, attempt, exc, callback):
+        """Call back once it is known whether the server crashed.
+
+        The answer decides whether the request may be sent again.
+        """
         if exc.cut:
             self._desk.crash_watch.note_cut(
                 attempt,
                 self.job.fingerprint,
-                go_on,
+                callback,
             )
         else:
-            go_on()
+            callback()
 
     def _note_failed(self, attempt, exc):
         self.attempt = None
@@ -195,7 +199,7 @@
         if self._expire_if_late():
             return
 
-        def go_on(choice):
+        def start_attempt(choice):
             if self.ended:
                 return
             if isinstance(choice, Refusal):
@@ -205,7 +209,7 @@
             self.attempt = Attempt(self, self._desk, choice)
             self.attempt.start()
 
-        place_request(self._desk, self, self._avoided, go_on)
+        place_request(self._desk, self, self._avoided, start_attempt)
 
     def _finish_stream(self, head):
         if not self._streaming:
@@ -237,7 +241,7 @@
         self._fail('deadline_exceeded', 'the deadline has passed')
 
     def _cancel_attempt(self):
-        """Give up the attempt, and tell whether it had been sent."""
+        """Cancel the attempt; return whether it may have reached its server."""
         attempt = self.attempt
         self.attempt = None
         if attempt is None or not attempt.cancel():
@@ -250,7 +254,7 @@
             self._abort_stream(code, text)
             return
         if self._last_answer is not None:
-            # A failure that a server gave says more than one of ours.
+            # An error answer from a server is more specific than a refusal.
             head, body = self._last_answer
             self._sink.on_answer(head, body)
             self._end(Outcome.FAILED, str(head.status))
