--- a/crankchute/core/service_flow.py
+++ b/crankchute/core/service_flow.py
@@ -1,8 +1,8 @@
-"""Calls of plain services of the product's own interface.
+"""Routes calls of plain services that arrive through the native API.
 
-They run on the forwarding engine, as every forwarded request does: what may
-start once is sent again only after a proof that it did not start, and the
-retries of an account and pool have a budget.
+Calls are forwarded like any other request: a non-repeatable call is retried
+only if it certainly did not start, and each account and pool has a retry
+budget.
 """
 
 from crankchute.core.candidates import list_members
@@ -16,8 +16,8 @@
 from crankchute.ports.forwarding import AnswerSink
 
 _RETRY_WINDOW_MS = 10_000
-#: Retries of one account and pool, at each instance: a tenth of its calls in
-#: ten seconds, and a few so that a quiet account has some.
+#: The limits apply to each account and pool, at each instance.  The slack
+#: allows some retries to accounts with few calls.
 _RETRY_LIMITS = RetryLimits(
     ratio=0.1,
     slack=10,
@@ -29,18 +29,18 @@
 
 
 class ServiceCall:
-    """A checked call of a plain service.
+    """A validated call of a plain service.
 
     Attributes:
       method: The HTTP method.
-      path: The path at the backend server, with its query.
+      path: The path and query at the backend server.
       body: Bytes.
-      content_type: The body's media type, or None.
-      key: The text of the request key, or None.
-      repeatable: Whether it may run more than once, a bool.
+      content_type: The media type of the body, or None.
+      key: The request key as a string, or None.
+      repeatable: Whether the call may run more than once.
       pool: The pool's name.
       account: The client account's name.
-      deadline_ms: When it must have ended, on this process's clock.
+      deadline_ms: The deadline on this process's clock.
     """
 
     __slots__ = (
@@ -59,14 +59,14 @@
         """Create a call.
 
         Args:
-          fields: A value for each attribute.
+          fields: The value of each attribute.
         """
         for name in self.__slots__:
             setattr(self, name, fields[name])
 
 
 class ServiceAnswer:
-    """The whole answer of a plain service."""
+    """The complete answer of a plain service."""
 
     __slots__ = ('body', 'content_type', 'status')
 
@@ -75,7 +75,7 @@
 
         Args:
           status: The HTTP status, an int.
-          content_type: The body's media type.
+          content_type: The media type of the body, or None.
           body: Bytes.
         """
         self.status = status
@@ -84,7 +84,7 @@
 
 
 class ServiceSink(AnswerSink):
-    """Hands the one end of a call to a function."""
+    """Passes the end of a call to a callback."""
 
     __slots__ = ('_on_end',)
 
@@ -92,7 +92,7 @@
         """Create the sink.
 
         Args:
-          on_end: A function of a ServiceAnswer or a Refusal, called once.
+          on_end: A function of a ServiceAnswer or a Refusal; it is called once.
         """
         self._on_end = on_end
 
@@ -102,13 +102,13 @@
         self._on_end(ServiceAnswer(head.status, content_type, body))
 
     def on_head(self, head):
-        """See AnswerSink; these answers are no streams."""
+        """See AnswerSink; not called, since these answers are not streamed."""
 
     def on_event(self, event):
-        """See AnswerSink; these answers are no streams."""
+        """See AnswerSink; not called, since these answers are not streamed."""
 
     def on_end(self):
-        """See AnswerSink; these answers are no streams."""
+        """See AnswerSink; not called, since these answers are not streamed."""
 
     def on_refused(self, refusal):
         """See AnswerSink."""
@@ -116,21 +116,21 @@
 
 
 class ServiceRouter:
-    """Chooses servers for calls and ends each call exactly once."""
+    """Forwards calls to plain services and ends each call exactly once."""
 
     def __init__(self, ports, fleet, services, journal):
         """Create a router without a configuration.
 
         Args:
-          ports: The Ports of the dispatcher (timers, random, metrics).
+          ports: The Ports of the dispatcher; `engines` is not used.
           fleet: The Fleet.
-          services: A ForwardPort whose jobs carry a ServiceCall.
+          services: A ForwardPort for jobs whose payload is a ServiceCall.
           journal: A ForwardJournal.
         """
         self._ports = ports
         self._services = services
         self._fleet = fleet
-        # Services of this interface have no way to name a limit.
+        # Services behind the native API cannot declare server limits.
         self._turns = LimitDesk(ports.timers, '', '').turns
         self._choosers = {}
         self._hints = ReturnHints(ports.random)
@@ -153,7 +153,7 @@
 
     @property
     def in_progress(self):
-        """How many calls have not ended."""
+        """The number of calls in progress."""
         return self._desk.in_progress
 
     def submit(self, call, on_end):
@@ -161,7 +161,7 @@
 
         Args:
           call: A ServiceCall.
-          on_end: A function of a ServiceAnswer or a Refusal, called once.
+          on_end: A function of a ServiceAnswer or a Refusal; it is called once.
         """
         now_ms = self._ports.timers.clock.now_ms()
         job = ForwardJob(
@@ -185,7 +185,7 @@
         self._desk.submit(job, ServiceSink(on_end))
 
     def _chooser_of(self, pool):
-        """Return the chooser of a pool; it knows no server of an unknown one."""
+        """Return a pool's chooser, which has no servers if it is unknown."""
         chooser = self._choosers.get(pool)
         if chooser is None:
             chooser = choosers[LEAST_BUSY](self._make_parts(pool))
@@ -222,4 +222,4 @@
 
 
 def _ignore_moved(_backend):
-    """Take what the list of instances will tell."""
+    """Ignore the report; the instance list is updated independently."""
