--- a/crankchute/core/single_flow.py
+++ b/crankchute/core/single_flow.py
@@ -1,8 +1,8 @@
-"""A completion on one engine at a time, on the forwarding engine.
+"""Serves a completion on one engine at a time.
 
-What is particular to completions is here: frames are matched to the attempt
-that asked for them, a flow without a free engine waits for its turn, and an
-engine that refuses is asked again after a pause.
+Extends forwarded requests with what is specific to completions: frames are
+matched to the attempt that requested them, flows queue until an engine has
+capacity, and requests that an engine refused are queued again.
 """
 
 from crankchute.core.forward_attempt import Attempt
@@ -23,7 +23,7 @@
 
 
 class CompletionCall(EngineListener):
-    """One order to an engine, whose frames become events."""
+    """One order to an engine; converts its frames to stream events."""
 
     __slots__ = ('_call', '_listener', '_matcher', '_metrics')
 
@@ -46,7 +46,7 @@
 
     @property
     def sent(self):
-        """Whether the order may have left, a bool."""
+        """Whether the order may have been sent."""
         return self._call is not None
 
     def start(self, engines, backend, order):
@@ -61,7 +61,7 @@
         self._call = engines.generate(backend, order, self)
 
     def cancel(self):
-        """Give the order up."""
+        """Cancel the order."""
         if self._call is not None:
             self._call.cancel()
 
@@ -123,7 +123,7 @@
 
 
 class CompletionSink(AnswerSink):
-    """Hands the events of a completion to a RequestSink as tokens."""
+    """Converts the events of a completion to tokens for a RequestSink."""
 
     __slots__ = ('_sink', '_token_count')
 
@@ -137,13 +137,13 @@
         self._token_count = 0
 
     def on_answer(self, head, body):
-        """See AnswerSink; completions have no such answers."""
+        """See AnswerSink; not called, since completions are streamed."""
 
     def on_head(self, head):
-        """See AnswerSink; a RequestSink needs none."""
+        """See AnswerSink; a RequestSink has no head."""
 
     def on_event(self, event):
-        """See AnswerSink; an event's number is the offset after it."""
+        """See AnswerSink; an event's number is the offset after its tokens."""
         self._token_count = event.number
         tokens = event.payload
         self._sink.on_tokens(event.number - len(tokens), tokens)
@@ -161,13 +161,13 @@
     """Serves one job on one engine at a time.
 
     Attributes:
-      first_ms: When the first token came, or None.
+      first_ms: When the first token arrived, or None.
     """
 
     unfinished_retry_after_ms = 200
 
     def __init__(self, job, desk, sink):
-        """Create a flow; start() queues it, run() sends it.
+        """Create a flow; start() queues it and run() sends it.
 
         Args:
           job: The Job.
@@ -178,7 +178,7 @@
         self.first_ms = None
 
     def run(self):
-        """Send the request to an engine if one has room.
+        """Send the request if an engine has capacity.
 
         Returns:
           False if the flow must wait.
@@ -192,21 +192,21 @@
         return True
 
     def token_gap_ms(self):
-        """Return the mean time between the tokens that were delivered."""
+        """Return the mean time between delivered tokens in milliseconds."""
         if self.first_ms is None:
             return 0
         elapsed_ms = self.now_ms() - self.first_ms
         return elapsed_ms / max(self.delivered - 1, 1)
 
     def on_attempt_not_run(self, attempt, rejection):
-        """Wait and try again after an engine that did not start."""
+        """Queue the request again after a refusal by an engine."""
         self.attempt = None
         self._desk.note_attempt_end(self, attempt, rejection.code)
         self._desk.note_rejection(self, attempt, rejection)
         self._desk.requeue(self)
 
     def on_attempt_failed(self, attempt, exc):
-        """Try elsewhere within the retry budget, or end."""
+        """Retry on another engine if the retry budget allows, or end."""
         self._note_failed(attempt, exc)
 
         def retry_or_fail():
@@ -220,11 +220,15 @@
         self._after_failure(attempt, exc, retry_or_fail)
 
     def _go_on_elsewhere(self):
-        """Send the request to another engine after a failure."""
+        """Retry the request after a failure."""
         self._try_next(_ENGINE_FAILED)
 
     def _ends_if_held(self):
-        """End a request that crashes engines; tell whether it did."""
+        """End a request that is blocked for crashing engines.
+
+        Returns:
+          Whether the request was ended.
+        """
         refusal = self._desk.crash_watch.find_refusal(self.job.fingerprint)
         if refusal is None:
             return False
@@ -236,5 +240,5 @@
         self.attempt.start()
 
     def _try_next(self, cause):
-        """Wait for a turn; the queue calls run()."""
+        """Queue the request; the dispatcher calls run()."""
         self._desk.enqueue(self)
