--- a/crankchute/core/flow_desk.py
+++ b/crankchute/core/flow_desk.py
@@ -139,7 +139,7 @@
         return attempt.heard_ms + allowed_ms
 
     def take_retry(self, job):
-        """Take a retry from the account's budget; return False if it is empty."""
+        """Take a retry from the account's budget; return False if empty."""
         taken = self._dispatcher.take_retry(job)
         if taken:
             self.metrics.count('retries')
--- a/crankchute/core/forward_desk.py
+++ b/crankchute/core/forward_desk.py
@@ -168,7 +168,7 @@
         return chooser.overdue_at_ms(flow.job, attempt)
 
     def take_retry(self, job):
-        """Take a retry from the pool's budget; return False if it is empty."""
+        """Take a retry from the pool's budget; return False if empty."""
         taken = self._budget(job).take(self.now_ms())
         self.metrics.count('retries' if taken else 'retries_denied')
         return taken
