--- a/crankchute/core/forward_desk.py
+++ b/crankchute/core/forward_desk.py
@@ -5,7 +5,7 @@
 experiments.
 """
 
-from crankchute.core.attempt_context import (
+from crankchute.core.attempt_desk import (
     DEFAULT_RETRY_AFTER_MS,
     AttemptContext,
 )
