--- a/crankchute/core/dispatcher_test.py
+++ b/crankchute/core/dispatcher_test.py
@@ -1,8 +1,7 @@
-"""Tests of completions under which engines crash.
+"""Tests for completions that crash engines.
 
-A completion is sent from one engine to the next as often as its account's retries
-allow, and each submission began anew: four of them ended nine engines, the first
-alone six.
+They guard against a completion that is retried, and submitted again, until it
+has crashed one engine after another.
 """
 
 import random
@@ -26,12 +25,12 @@
 from crankchute.errors import BackendError
 from crankchute.ports.metrics import Metrics
 
-CULPRIT = 7
+CRASHING_FINGERPRINT = 7
 _SETTLE_MS = 100
 
 
-class World:
-    """A dispatcher with engines, which crash or only cut connections."""
+class DispatcherHarness:
+    """A dispatcher whose engines close the connection on every attempt."""
 
     def __init__(self, is_listening, engines=30):
         self.timers = ManualTimers()
@@ -50,10 +49,10 @@
         limits = AccountLimits(self.timers.clock)
         self.dispatcher = Dispatcher(ports, self.fleet, limits, 'dc-1')
         self.dispatcher.config = load_config(1, make_documents())
-        self.crashed = 0
+        self.cut_attempts = 0
 
-    def ask(self, fingerprint=CULPRIT):
-        """Return the sink of a completion, each attempt of which is cut."""
+    def submit(self, fingerprint=CRASHING_FINGERPRINT):
+        """Submit a completion whose attempts all fail, and return its sink."""
         now_ms = self.timers.clock.now_ms()
         for backend in self.fleet:
             self.fleet.note_load(backend, make_load(now_ms))
@@ -66,7 +65,7 @@
         sink = RecordingSink(job, self.timers.clock)
         self.dispatcher.submit(job, sink)
         while self.engines.generating:
-            self.crashed += 1
+            self.cut_attempts += 1
             generation = self.engines.generating.pop()
             exc = BackendError('closed', sent=True, cut=True)
             generation.listener.on_failed(exc)
@@ -75,22 +74,22 @@
 
 
 @pytest.mark.parametrize('is_listening', [False, True, None])
-def test_completion_that_ends_engines_is_held(is_listening):
-    world = World(is_listening)
+def test_completion_that_crashes_engines_is_refused(is_listening):
+    harness = DispatcherHarness(is_listening)
     for _ in range(4):
-        sink = world.ask()
-    assert (world.crashed <= 3) == (is_listening is False)
+        sink = harness.submit()
+    assert (harness.cut_attempts <= 3) == (is_listening is False)
     assert sink.ends == 1
-    is_held = sink.refusal.code == 'crashes_servers'
-    assert is_held == (is_listening is False)
-    if is_held:
+    is_refused = sink.refusal.code == 'crashes_servers'
+    assert is_refused == (is_listening is False)
+    if is_refused:
         assert sink.refusal.outcome == Outcome.NOT_RUN
 
 
-def test_other_completions_are_served():
-    world = World(is_listening=False)
+def test_other_completions_are_still_served():
+    harness = DispatcherHarness(is_listening=False)
     for _ in range(4):
-        world.ask()
-    before = world.crashed
-    world.ask(fingerprint=8)
-    assert world.crashed > before
+        harness.submit()
+    before = harness.cut_attempts
+    harness.submit(fingerprint=8)
+    assert harness.cut_attempts > before
