--- a/crankchute/core/completion_machine_test.py
+++ b/crankchute/core/completion_machine_test.py
@@ -1,7 +1,7 @@
-"""A state machine of the real dispatcher over fake engines.
+"""Stateful tests of the dispatcher with fake engines.
 
-Engines answer, refuse, fail, fall silent, and send frames that are crossed,
-doubled, out of order or cut; the process sleeps; callers go away.
+Engines answer, refuse, fail, stall, and send misrouted, duplicate, out-of-order
+or truncated frames; the process is suspended; callers disconnect.
 """
 
 import random
@@ -32,16 +32,16 @@
 from crankchute.ports.metrics import Metrics
 
 _ENGINES = 3
-_LENGTH = 4
-_SLACK_MS = 1
+_ANSWER_TOKENS = 4
+_DEADLINE_SLACK_MS = 1
 _EVENTS = st.sampled_from(['next', 'again', 'skip', 'cross', 'end', 'early'])
 
 
 class CompletionMachine(RuleBasedStateMachine):
-    """Requests, engines and faults around one dispatcher."""
+    """Submits requests to a dispatcher and injects engine faults."""
 
     def __init__(self):
-        """Create a dispatcher with three engines and one account."""
+        """Create a dispatcher with several engines and one account."""
         super().__init__()
         self.timers = ManualTimers()
         self.engines = FakeEngines()
@@ -61,21 +61,21 @@
         self.dispatcher = Dispatcher(ports, self.fleet, limits, 'dc-1')
         self.dispatcher.config = load_config(1, make_documents())
         self.limits = limits
-        self.report()
+        self.report_load()
 
     @rule(
         tokens=st.sampled_from([1000, 9000, 300_000, 900_000]),
         deadline_ms=st.integers(min_value=50, max_value=60_000),
     )
     def submit(self, tokens, deadline_ms):
-        """Ask for a completion."""
+        """Submit a completion."""
         now_ms = self.timers.clock.now_ms()
         job = make_job(
             request_id=f'r{len(self.sinks)}',
             tokens=tokens,
             arrived_ms=now_ms,
             deadline_ms=now_ms + deadline_ms,
-            max_tokens=_LENGTH,
+            max_tokens=_ANSWER_TOKENS,
         )
         sink = RecordingSink(job, self.timers.clock)
         self.sinks.append(sink)
@@ -86,7 +86,7 @@
     @precondition(lambda machine: machine.engines.generating)
     @rule(choice=st.integers(min_value=0), event=_EVENTS)
     def send_frame(self, choice, event):
-        """Let an engine send a frame, right or wrong."""
+        """Send a valid or faulty frame from an engine."""
         running = self.engines.generating
         generation = running[choice % len(running)]
         generation.send(event)
@@ -94,7 +94,7 @@
     @precondition(lambda machine: machine.engines.generating)
     @rule(choice=st.integers(min_value=0), sent=st.booleans())
     def fail(self, choice, sent):
-        """Let an engine fail."""
+        """Fail the call to an engine."""
         running = self.engines.generating
         generation = running.pop(choice % len(running))
         generation.listener.on_failed(BackendError('gone', sent=sent))
@@ -102,7 +102,7 @@
     @precondition(lambda machine: machine.engines.generating)
     @rule(choice=st.integers(min_value=0))
     def refuse(self, choice):
-        """Let an engine refuse before it starts."""
+        """Refuse an order that has not started."""
         running = self.engines.generating
         generation = running[choice % len(running)]
         if not generation.sent:
@@ -112,68 +112,72 @@
     @precondition(lambda machine: machine.engines.asked)
     @rule(choice=st.integers(min_value=0), accepted=st.booleans())
     def answer_group_call(self, choice, accepted):
-        """Let an engine answer a hold or a segment."""
+        """Answer a memory reservation or a segment prefill of a group."""
         asked = self.engines.asked
         asked.pop(choice % len(asked))(accepted)
 
     @rule(delay_ms=st.integers(min_value=1, max_value=5000))
-    def pass_time(self, delay_ms):
-        """Let time pass with fresh load reports."""
+    def advance_time(self, delay_ms):
+        """Advance the clock, then report the load."""
         self.timers.advance(delay_ms)
-        self.report()
+        self.report_load()
 
     @rule(delay_ms=st.integers(min_value=1000, max_value=70_000))
-    def sleep(self, delay_ms):
-        """Let the process sleep, also past deadlines, then wake it."""
+    def suspend_process(self, delay_ms):
+        """Suspend and resume the process, possibly past deadlines."""
         self.timers.jump(delay_ms)
         self.timers.advance(0)
-        self.report()
+        self.report_load()
 
     @precondition(lambda machine: machine.engines.generating)
     @rule(
         choice=st.integers(min_value=0),
         delay_ms=st.integers(min_value=1000, max_value=70_000),
     )
-    def wake_in_a_read(self, choice, delay_ms):
-        """Let the process sleep between noticing a frame and reading it."""
+    def suspend_before_read(self, choice, delay_ms):
+        """Suspend the process after a frame arrives and before it is read."""
         self.timers.jump(delay_ms)
         running = self.engines.generating
         running[choice % len(running)].send('next')
         self.timers.advance(0)
-        self.report()
+        self.report_load()
 
     @precondition(lambda machine: machine.flows)
     @rule(choice=st.integers(min_value=0))
-    def go_away(self, choice):
-        """Let a caller go away."""
-        names = sorted(self.flows)
-        name = names[choice % len(names)]
-        self.dispatcher.cancel(self.flows.pop(name))
-        sink = next(one for one in self.sinks if one.job.request_id == name)
+    def disconnect_caller(self, choice):
+        """Cancel a request because its caller disconnected."""
+        request_ids = sorted(self.flows)
+        request_id = request_ids[choice % len(request_ids)]
+        self.dispatcher.cancel(self.flows.pop(request_id))
+        sink = next(
+            one for one in self.sinks if one.job.request_id == request_id
+        )
         sink.gone = True
 
     @invariant()
-    def every_request_has_one_end(self):
-        """No request has two ends, and none is open past its deadline."""
+    def requests_end_once_and_in_time(self):
+        """No request ends twice, and none is open past its deadline."""
         now_ms = self.timers.clock.now_ms()
         for sink in self.sinks:
             assert sink.ends <= 1
             assert not sink.is_late
-            overdue = now_ms > sink.job.deadline_ms + _SLACK_MS
+            overdue = now_ms > sink.job.deadline_ms + _DEADLINE_SLACK_MS
             assert sink.ends or sink.gone or not overdue
 
     @invariant()
-    def answers_are_whole_and_own(self):
-        """What was taken is in order, and an end says the right count."""
+    def answers_belong_to_their_request(self):
+        """Tokens are the request's own, in order; a final count is right."""
         for sink in self.sinks:
-            name = sink.job.request_id
-            wanted = [f'{name}-{index}' for index in range(_LENGTH)]
-            assert sink.tokens == wanted[: len(sink.tokens)]
+            request_id = sink.job.request_id
+            expected = [
+                f'{request_id}-{index}' for index in range(_ANSWER_TOKENS)
+            ]
+            assert sink.tokens == expected[: len(sink.tokens)]
             assert sink.count in {None, len(sink.tokens)}
 
     @invariant()
-    def nothing_stays_counted(self):
-        """Without requests nothing is in flight, held or limited."""
+    def resources_are_released(self):
+        """Without requests, no load, memory or account usage remains."""
         if self.dispatcher.in_progress:
             return
         for backend in self.fleet:
@@ -184,8 +188,8 @@
         account = self.dispatcher.config.accounts['acc']
         assert not self.limits.use_of(account).in_progress
 
-    def report(self):
-        """Let every engine report its load."""
+    def report_load(self):
+        """Report the load of every engine."""
         for backend in self.fleet:
             now_ms = self.timers.clock.now_ms()
             self.fleet.note_load(backend, make_load(now_ms))
