--- a/crankchute/core/once_machine_test.py
+++ b/crankchute/core/once_machine_test.py
@@ -1,7 +1,7 @@
-"""A state machine of the real ledger and router, as in spec/once.py.
+"""Stateful tests of the key ledger and the service router.
 
-The same actions: submissions of one key to its instance, crashes, time that
-passes the expiry, calls that run, are refused, or are lost.
+The actions are those of the model in spec/once.py: repeated submissions of one
+key, crashes, expiry, and calls that run, are refused or are lost.
 """
 
 import random
@@ -32,10 +32,10 @@
 
 
 class FakeServices(ForwardPort):
-    """Keeps calls until the machine decides what becomes of them."""
+    """Keeps calls until the state machine answers them."""
 
     def __init__(self):
-        """Create without calls."""
+        """Create a port without calls."""
         self.waiting = []
         self.sent = True
 
@@ -45,25 +45,25 @@
         return self
 
     def cancel(self):
-        """Give a call up; what is under way may still run."""
+        """Do nothing: a call that was sent may still run."""
 
 
 class OnceMachine(RuleBasedStateMachine):
-    """One key, submitted again and again."""
+    """Submits one key repeatedly and injects faults."""
 
     def __init__(self):
-        """Create one incarnation of the instance."""
+        """Create the first incarnation of the instance."""
         super().__init__()
         self.boot = 0
         self.runs = 0
-        self.said_not_run = False
+        self.reported_not_run = False
         self.ends = []
         self.admitted = 0
         self.key = RequestKey(Binding('entry-1', 'boot-0'), _EXPIRY_MS, 'n')
         self.start()
 
     def start(self):
-        """Start an incarnation with nothing but its boot id."""
+        """Start an incarnation that keeps no state from before."""
         self.timers = ManualTimers()
         self.services = FakeServices()
         fleet = Fleet()
@@ -105,15 +105,15 @@
             )
             self.router.submit(call, self.note_end)
         elif claim == Claim.RUNNING:
-            self.ledger.wait('acc', self.key, self.note_heard)
+            self.ledger.wait('acc', self.key, self.note_reported)
 
     @precondition(lambda machine: machine.services.waiting)
-    @rule(heard=st.booleans())
-    def run_call(self, heard):
+    @rule(answered=st.booleans())
+    def run_call(self, answered):
         """Run a call at the service; its answer may be lost."""
-        call, listener = self.services.waiting.pop(0)
+        _, listener = self.services.waiting.pop(0)
         self.runs += 1
-        if heard:
+        if answered:
             listener.on_head(AnswerHead(200))
             listener.on_body(b'done')
             listener.on_end()
@@ -123,27 +123,27 @@
     @precondition(lambda machine: machine.services.waiting)
     @rule(sent=st.booleans())
     def lose_call(self, sent):
-        """Lose a call on its way, or fail to connect."""
+        """Lose a call in transit, or fail to connect."""
         _, listener = self.services.waiting.pop(0)
         listener.on_failed(BackendError('lost', sent=sent))
 
     @precondition(lambda machine: machine.services.waiting)
     @rule()
     def refuse_call(self):
-        """Let the service say that it did not start the call."""
+        """Refuse a call that the service did not start."""
         _, listener = self.services.waiting.pop(0)
         listener.on_not_run(Rejection('closed'))
 
     @rule(delay_ms=st.integers(min_value=1, max_value=9000))
-    def pass_time(self, delay_ms):
-        """Let time pass, also past the expiry."""
+    def advance_time(self, delay_ms):
+        """Advance the clock, possibly past the key's expiry."""
         self.timers.advance(delay_ms)
         self.ledger.forget_expired(self.timers.clock.now_ms())
 
     @precondition(lambda machine: machine.boot == 0)
     @rule()
     def crash(self):
-        """Lose everything and start as another incarnation."""
+        """Lose all state and start as a new incarnation."""
         self.boot = 1
         self.admitted = 0
         self.ends = []
@@ -155,26 +155,26 @@
         assert self.runs <= 1
 
     @invariant()
-    def not_run_is_true(self):
-        """What was said not to have run did not run."""
-        assert not (self.said_not_run and self.runs)
+    def not_run_reports_are_true(self):
+        """A call that was reported as not run did not run."""
+        assert not (self.reported_not_run and self.runs)
 
     @invariant()
     def every_call_ends_once(self):
-        """Each admitted call has one end, or is still in progress."""
+        """Each admitted call has ended once or is in progress."""
         assert len(self.ends) + self.router.in_progress == self.admitted
 
     def note_end(self, end):
-        """Take the end of the call."""
+        """Record the end of the call and report it to its caller."""
         self.ends.append(end)
         self.ledger.end('acc', self.key, end, 1)
-        self.note_heard(end)
+        self.note_reported(end)
 
-    def note_heard(self, end):
-        """Take what a caller hears."""
+    def note_reported(self, end):
+        """Record an end that is reported to a caller."""
         outcome = getattr(end, 'outcome', Outcome.OK)
         if outcome == Outcome.NOT_RUN:
-            self.said_not_run = True
+            self.reported_not_run = True
 
 
 OnceMachine.TestCase.settings = settings(
