--- a/crankchute/core/forward_flow_test.py
+++ b/crankchute/core/forward_flow_test.py
@@ -1,4 +1,4 @@
-"""Tests of forwarded requests: what a caller sees of every kind of end."""
+"""Tests for forwarded requests: retries, resumption and their ends."""
 
 from types import MappingProxyType
 
@@ -36,23 +36,23 @@
         call.listener.on_event(StreamEvent(number, b'id: 1\n\n'))
 
 
-def break_off(call, *, sent=True):
+def fail(call, *, sent=True):
     call.listener.on_failed(BackendError('lost', sent=sent))
 
 
-ACTS = MappingProxyType(
+RESPONSES = MappingProxyType(
     {
         'ok': lambda call: answer(call, 200),
         'fault': lambda call: answer(call, 500),
         'full': lambda call: call.listener.on_not_run(FULL),
-        'lost': break_off,
-        'unsent': lambda call: break_off(call, sent=False),
+        'lost': fail,
+        'unsent': lambda call: fail(call, sent=False),
     }
 )
 
 
 @pytest.mark.parametrize(
-    ('repeat', 'acts', 'seen'),
+    ('repeat', 'responses', 'expected'),
     [
         (ONCE, ['ok'], ('answer', 200)),
         (ONCE, ['fault'], ('answer', 500)),
@@ -71,56 +71,56 @@
         (AGAIN, ['unsent', 'unsent', 'lost'], FAILED),
     ],
 )
-def test_ends_of_plain_requests(repeat, acts, seen):
+def test_end_of_request_that_is_not_streamed(repeat, responses, expected):
     world = ForwardWorld()
     _flow, sink = world.submit(repeat=repeat)
-    for act in acts:
+    for response in responses:
         if not sink.seen:
-            ACTS[act](world.port.calls[-1])
-    assert sink.seen == [seen]
+            RESPONSES[response](world.port.calls[-1])
+    assert sink.seen == [expected]
     assert world.desk.in_progress == 0
 
 
 @pytest.mark.parametrize(
-    ('first', 'second', 'seen'),
+    ('first', 'second', 'expected'),
     [
         ((1, 2), (3, 4), [1, 2, 3, 4]),
         ((1, 2), (2, 3), [1, 2, 3]),
         ((), (1, 2), [1, 2]),
     ],
 )
-def test_stream_is_taken_up_after_the_last_event(first, second, seen):
+def test_stream_resumes_after_last_event(first, second, expected):
     world = ForwardWorld()
     _flow, sink = world.submit(repeat=RESUME, is_stream=True)
     send_events(world.port.calls[0], *first)
-    break_off(world.port.calls[0])
-    again = world.port.calls[1]
-    assert again.order.resume_after == max(first, default=None)
-    send_events(again, *second)
-    again.listener.on_end()
-    events = [('event', number) for number in seen]
+    fail(world.port.calls[0])
+    retry = world.port.calls[1]
+    assert retry.order.resume_after == max(first, default=None)
+    send_events(retry, *second)
+    retry.listener.on_end()
+    events = [('event', number) for number in expected]
     assert sink.seen == [('head', 200), *events, ('end', None)]
 
 
-def test_stream_that_may_start_once_is_broken_off():
+def test_non_repeatable_stream_is_not_resumed():
     world = ForwardWorld()
     _flow, sink = world.submit(repeat=ONCE, is_stream=True)
     send_events(world.port.calls[0], 1)
-    break_off(world.port.calls[0])
+    fail(world.port.calls[0])
     assert sink.seen[-1] == FAILED
     assert len(world.port.calls) == 1
 
 
-def test_budget_that_is_used_up_ends_the_request():
+def test_request_fails_when_retry_budget_is_empty():
     world = ForwardWorld(slack=0)
     _flow, sink = world.submit(repeat=AGAIN)
-    break_off(world.port.calls[0])
+    fail(world.port.calls[0])
     assert sink.seen == [FAILED]
     assert len(world.port.calls) == 1
 
 
 @pytest.mark.parametrize(
-    ('repeat', 'sent', 'seen'),
+    ('repeat', 'sent', 'expected'),
     [
         (ONCE, True, UNKNOWN),
         (AGAIN, True, FAILED),
@@ -128,18 +128,19 @@
         (AGAIN, False, NOT_RUN),
     ],
 )
-def test_deadline_ends_the_request_and_its_attempt(repeat, sent, seen):
+def test_deadline_ends_request_and_cancels_attempt(repeat, sent, expected):
     world = ForwardWorld()
     _flow, sink = world.submit(repeat=repeat, deadline_ms=500)
     world.port.calls[0].sent = sent
     world.timers.advance(499)
     assert sink.seen == []
     world.timers.advance(2)
-    assert sink.seen == [seen]
+    assert sink.seen == [expected]
     assert world.port.calls[0].cancelled
 
 
-def test_late_event_after_a_pause_is_not_passed_on():
+def test_event_after_deadline_is_not_forwarded():
+    """The process was suspended, so the deadline timer is late as well."""
     world = ForwardWorld()
     _flow, sink = world.submit(repeat=RESUME, is_stream=True, deadline_ms=500)
     world.timers.jump(800)
@@ -147,7 +148,7 @@
     assert sink.seen == [FAILED]
 
 
-def test_caller_that_leaves_ends_the_attempt():
+def test_cancelled_request_cancels_its_attempt():
     world = ForwardWorld()
     flow, sink = world.submit()
     flow.cancel()
@@ -162,16 +163,16 @@
     assert sink.seen == [NOT_RUN]
 
 
-@pytest.mark.parametrize('left_at', ['reserving', 'running', 'ended'])
-def test_tickets_are_released_at_every_end(left_at):
+@pytest.mark.parametrize('phase', ['reserving', 'running', 'ended'])
+def test_reservation_is_released_at_every_end(phase):
     world = ForwardWorld()
     world.chooser.helpers = (Helper(world.backends[1], 'ticket-1', 100),)
     flow, _sink = world.submit(repeat=RESUME, is_stream=True)
     assert not world.port.calls
-    if left_at != 'reserving':
+    if phase != 'reserving':
         world.reservations.answer(is_done=True)
         send_events(world.port.calls[0], 1)
-    if left_at == 'ended':
+    if phase == 'ended':
         world.port.calls[0].listener.on_end()
     else:
         flow.cancel()
@@ -180,7 +181,7 @@
 
 
 @pytest.mark.parametrize('is_done', [False, None])
-def test_refused_ticket_is_released_and_another_engine_chosen(is_done):
+def test_refused_reservation_is_released_and_retried_elsewhere(is_done):
     world = ForwardWorld()
     world.chooser.helpers = (Helper(world.backends[0], 'ticket-1', 100),)
     _flow, sink = world.submit(repeat=RESUME, is_stream=True)
@@ -193,7 +194,7 @@
     assert sink.seen == []
 
 
-def test_tickets_are_renewed_while_they_are_used():
+def test_reservation_is_renewed_while_in_use():
     world = ForwardWorld()
     world.chooser.helpers = (Helper(world.backends[1], 'ticket-1', 100),)
     flow, _sink = world.submit(repeat=RESUME, is_stream=True)
@@ -206,8 +207,8 @@
     assert world.reservations.asked == []
 
 
-def test_release_without_an_answer_is_asked_again_until_memory_lapses():
-    """It lapses 3.7 s after the engine was last told to keep it."""
+def test_unanswered_release_is_repeated_until_reservation_expires():
+    """The reservation expires 3.7 s after the last renewal."""
     world = ForwardWorld()
     world.chooser.helpers = (Helper(world.backends[1], 'ticket-1', 100),)
     flow, _sink = world.submit(repeat=RESUME, is_stream=True)
@@ -222,7 +223,7 @@
     assert set(world.reservations.released) == {'ticket-1'}
 
 
-def test_silent_server_is_given_up_and_one_that_speaks_is_not():
+def test_only_stalled_attempt_is_cancelled():
     world = ForwardWorld()
     world.chooser.allowed_ms = 1000
     _flow, sink = world.submit(repeat=RESUME, is_stream=True)
@@ -245,23 +246,23 @@
         ('10.0.0.1:9', 'server-01'),
     ],
 )
-def test_server_that_a_rejection_blames_is_avoided(at_server, next_server):
+def test_rejecting_server_is_avoided(at_server, next_server):
     world = ForwardWorld()
     world.chooser.helpers = (Helper(world.backends[2]),)
     world.submit(repeat=RESUME, is_stream=True)
     rejection = Rejection('full', at_server)
     world.port.calls[0].listener.on_not_run(rejection)
-    again = world.port.calls[1].placement.backend
-    assert again.identity == next_server
+    backend = world.port.calls[1].placement.backend
+    assert backend.identity == next_server
     assert not world.moved
 
 
 @pytest.mark.parametrize(
-    ('at_server', 'resting'),
+    ('at_server', 'paused'),
     [(None, 0), ('server-02', 2), ('127.0.0.1:7002', 2)],
 )
-def test_server_that_a_rejection_blames_gets_its_rest(at_server, resting):
-    """A helper that wants rest says so through the one that was asked."""
+def test_rejecting_server_is_paused(at_server, paused):
+    """A helper's rejection is reported by the server that got the request."""
     world = ForwardWorld()
     world.chooser.helpers = (Helper(world.backends[2]),)
     world.submit(repeat=RESUME, is_stream=True)
@@ -269,11 +270,11 @@
         rejection = Rejection('full', at_server, retry_after_ms)
         world.desk.note_rejection(None, world.port.calls[0], rejection)
     until_ms = [one.refused_until_ms for one in world.backends]
-    assert until_ms[resting] == 3000
+    assert until_ms[paused] == 3000
     assert sum(until_ms) == 3000
 
 
-def test_server_that_is_not_at_its_address_is_told_of():
+def test_moved_server_is_reported():
     world = ForwardWorld()
     world.chooser.helpers = (Helper(world.backends[2]),)
     for at_server in (None, 'server-02'):
@@ -284,15 +285,15 @@
 
 
 @pytest.mark.parametrize(
-    ('repeat', 'sent', 'calls', 'seen'),
+    ('repeat', 'sent', 'calls', 'expected'),
     [
         (AGAIN, True, 2, []),
         (ONCE, False, 2, []),
         (ONCE, True, 1, [UNKNOWN]),
     ],
 )
-def test_attempt_ends_when_its_server_started_again(repeat, sent, calls, seen):
-    """Its connection may stay silent; the request goes on elsewhere at once."""
+def test_attempt_ends_when_its_server_restarts(repeat, sent, calls, expected):
+    """The request is retried without waiting for the connection to fail."""
     world = ForwardWorld()
     _flow, sink = world.submit(repeat=repeat)
     call = world.port.calls[0]
@@ -300,10 +301,10 @@
     world.desk.note_restarted(call.placement.backend)
     assert call.cancelled
     assert len(world.port.calls) == calls
-    assert sink.seen == seen
+    assert sink.seen == expected
 
 
-def test_helper_that_started_again_ends_the_attempt():
+def test_attempt_ends_when_its_helper_restarts():
     world = ForwardWorld()
     world.chooser.helpers = (Helper(world.backends[2]),)
     world.submit(repeat=RESUME, is_stream=True)
@@ -313,7 +314,7 @@
     assert not first.backend.suspicion.chance(0)
 
 
-def test_other_servers_that_start_again_change_nothing():
+def test_restart_of_unrelated_server_is_ignored():
     world = ForwardWorld()
     _flow, sink = world.submit(repeat=AGAIN)
     other = next(
@@ -326,8 +327,8 @@
 
 
 @pytest.mark.parametrize('servers', [0, 3])
-def test_callers_that_are_refused_together_come_back_apart(servers):
-    """Servers that are full, or none at all."""
+def test_retry_hints_of_refused_callers_are_spread(servers):
+    """Requests are refused because servers are full or there are none."""
     world = ForwardWorld(servers=servers)
     hints = set()
     for _ in range(20):
