--- a/crankchute/core/flow_desk.py
+++ b/crankchute/core/flow_desk.py
@@ -1,6 +1,6 @@
-"""What the flows of requests ask for: engines, retries, and their turn."""
+"""Engine selection, retries and queueing for the flows of completions."""
 
-from crankchute.core.attempt_desk import AttemptDesk
+from crankchute.core.attempt_desk import AttemptContext
 from crankchute.core.candidates import is_usable
 from crankchute.core.crash_watch import CrashWatch
 from crankchute.core.forward_job import Placement
@@ -11,29 +11,30 @@
 )
 from crankchute.core.single_flow import CompletionPort
 
-SMALLEST_HINT_MS = 200
-_WINDOW_MS = 250
-_REQUEUE_MS = 40
-#: How long an engine may be silent, before the first token and between two.
-_STALL_MS = 2500
-_FIRST_STALL_FACTOR = 3
+MIN_RETRY_AFTER_MS = 200
+_PENDING_WINDOW_MS = 250
+_REQUEUE_DELAY_MS = 40
+#: How long an engine may be silent between two tokens.
+_STALL_TIMEOUT_MS = 2500
+#: Before the first token, this multiple of the predicted time is added.
+_FIRST_TOKEN_FACTOR = 3
 
 
-class FlowDesk(AttemptDesk):
-    """What flows ask of the dispatcher: choices, retries, queueing."""
+class FlowDesk(AttemptContext):
+    """The interface between a dispatcher and its flows."""
 
     def __init__(self, dispatcher, ports, data_centre):
-        """Create the desk of a dispatcher.
+        """Create the interface of a dispatcher.
 
         Args:
           dispatcher: The Dispatcher.
           ports: The Ports.
-          data_centre: Where this instance runs.
+          data_centre: The name of the data centre of this instance.
         """
         self._dispatcher = dispatcher
         self._random = ports.random
         self._data_centre = data_centre
-        self._choices = 0
+        self._choice_count = 0
         self.engines = ports.engines
         self.port = CompletionPort(ports.engines, ports.metrics)
         self.crash_watch = CrashWatch(
@@ -46,27 +47,27 @@
 
     def view(self, job):
         """Return the RoutingView of a job."""
-        self._choices += 1
+        self._choice_count += 1
         return RoutingView(
             job,
             self.timers.clock.now_ms(),
             self._random,
             self._data_centre,
-            self._choices,
+            self._choice_count,
         )
 
     def choose(self, job, avoided):
-        """Choose an engine with room for a job.
+        """Choose an engine with capacity for a job.
 
         Args:
           job: The Job.
-          avoided: Ids of engines that failed it; used only if no other is
-            left.
+          avoided: Ids of engines where the job failed; used only if there is
+            no other candidate.
         Returns:
           A Placement, or None if the job must wait.
         """
         candidates = self._dispatcher.candidates(job)
-        candidates = _prefer(candidates, avoided)
+        candidates = _without_avoided(candidates, avoided)
         candidates = [one for one in candidates if _has_room(one, job)]
         if not candidates:
             return None
@@ -77,13 +78,13 @@
         return Placement(backend, first_ms=first_ms)
 
     def choose_group(self, job, avoided):
-        """Choose the engines for a prompt beyond one engine's memory.
+        """Choose the engines for a prompt that exceeds one engine's memory.
 
         Args:
           job: The Job.
-          avoided: Ids of engines that failed it.
+          avoided: Ids of engines where the job failed.
         Returns:
-          A list of Backend in the order of their ids, or None.
+          A list of Backend sorted by id, or None.
         """
         members = self._dispatcher.group_candidates(job, avoided)
         size = self._dispatcher.group_size(job)
@@ -93,15 +94,15 @@
         members = [one for one in members if _free_memory(one) > share]
         if len(members) < size:
             return None
-        members.sort(key=_long_then_free)
+        members.sort(key=_group_preference)
         return sorted(members[:size], key=_identity_of)
 
     def choose_spare(self, job, used):
-        """Choose an engine to replace a lost one.
+        """Choose a replacement for a failed member of a group.
 
         Args:
           job: The Job.
-          used: Ids of engines that cannot be taken.
+          used: Ids of engines that are excluded.
         Returns:
           A Backend or None.
         """
@@ -109,49 +110,49 @@
         return max(spares, key=_free_memory, default=None)
 
     def predict_ms(self, backend, job):
-        """Predict the time to a job's first token on an engine."""
+        """Return the predicted milliseconds to a job's first token."""
         return estimate_start_ms(backend, self.view(job))
 
     def is_usable(self, backend, job):
-        """Tell whether an engine may get work for a job."""
+        """Return whether an engine may receive work for a job."""
         return is_usable(backend, job.model, self.timers.clock.now_ms())
 
     def count_tokens(self, job, part):
-        """Return the length of a part of a job's prompt, in tokens."""
+        """Return the tokens of a prompt segment plus the answer's maximum."""
         share = len(part) / max(len(job.prompt), 1)
         return int(job.tokens * share) + job.max_tokens + 1
 
     def now_ms(self):
-        """Return the time on this process's clock."""
+        """Return the current time on this process's clock."""
         return self.timers.clock.now_ms()
 
     def after(self, delay_ms, callback):
-        """Run a callback later; see TimerService."""
+        """Schedule a callback; see TimerService."""
         return self.timers.after(delay_ms, callback)
 
     def silent_until_ms(self, flow, attempt):
-        """Return until when an attempt's engine may be silent."""
-        allowed_ms = _STALL_MS
+        """Return the time at which a silent attempt counts as stalled."""
+        allowed_ms = _STALL_TIMEOUT_MS
         if not attempt.started:
             first_ms = attempt.placement.first_ms
-            allowed_ms += first_ms * _FIRST_STALL_FACTOR
+            allowed_ms += first_ms * _FIRST_TOKEN_FACTOR
         return attempt.heard_ms + allowed_ms
 
     def take_retry(self, job):
-        """Take a retry from the budget of a job's account, if there is one."""
+        """Take a retry from the account's budget; return False if empty."""
         taken = self._dispatcher.take_retry(job)
         if taken:
             self.metrics.count('retries')
         return taken
 
     def note_attempt(self, flow, attempt, cause):
-        """Note that a job is sent to an engine."""
+        """Record that a job is sent to an engine."""
         job = flow.job
         attempt.backend.note_sent(job.engine_priority, job.tokens)
         attempt.backend.serving_long += job.is_long
 
     def note_first(self, flow, attempt):
-        """Note an attempt's first token; an engine has room again."""
+        """Record an attempt's first token, which frees engine capacity."""
         job = flow.job
         now_ms = self.now_ms()
         attempt.backend.note_answered(job.engine_priority, job.tokens)
@@ -161,62 +162,62 @@
         self._dispatcher.pump()
 
     def note_left(self, flow, attempt):
-        """Note that a job that was sent is no longer at its engine."""
+        """Record that a job that was sent is no longer at its engine."""
         job = flow.job
         attempt.backend.serving_long -= job.is_long
         if not attempt.started:
             attempt.backend.note_answered(job.engine_priority, job.tokens)
 
     def note_rejection(self, flow, attempt, rejection):
-        """Leave an engine alone until the time it asked for."""
+        """Pause an engine for the time that it asked for."""
         self.metrics.count('engine_refusals', rejection.code)
         self.leave_alone(attempt.backend, rejection.retry_after_ms)
 
     def leave_alone(self, backend, pause_ms):
-        """Send nothing to an engine for a while.
+        """Send no requests to an engine for some time.
 
         Args:
           backend: A Backend.
-          pause_ms: Milliseconds, or None.
+          pause_ms: Milliseconds, or None for no pause.
         """
         if pause_ms:
             backend.leave_alone(self.now_ms() + pause_ms)
 
     def note_dropped(self, flow, attempt):
-        """Count an event that the caller had already."""
+        """Count an event that the caller already received."""
         self.metrics.count('frames_dropped')
 
     def note_end(self, flow, outcome, code):
-        """Note the end of a request."""
+        """Record the end of a request."""
         self._dispatcher.note_end(flow, outcome)
 
     def enqueue(self, flow):
-        """Let a flow wait for its turn."""
+        """Add a flow to the queue."""
         self._dispatcher.enqueue(flow)
 
     def requeue(self, flow):
-        """Let a flow wait again, after a short random pause."""
-        pause_ms = _REQUEUE_MS * (1 + self._random.random())
+        """Add a flow to the queue again after a short, jittered delay."""
+        pause_ms = _REQUEUE_DELAY_MS * (1 + self._random.random())
         self.timers.after(pause_ms, lambda: self._dispatcher.enqueue(flow))
 
 
 def _has_room(backend, job):
     if not backend.pending_tokens:
         return True
-    window = backend.load.prefill_rate * _WINDOW_MS
-    return backend.pending_tokens + job.tokens <= window
+    token_window = backend.load.prefill_rate * _PENDING_WINDOW_MS
+    return backend.pending_tokens + job.tokens <= token_window
 
 
-def _prefer(candidates, avoided):
-    fresh = [one for one in candidates if one.identity not in avoided]
-    return fresh or candidates
+def _without_avoided(candidates, avoided):
+    preferred = [one for one in candidates if one.identity not in avoided]
+    return preferred or candidates
 
 
 def _free_memory(backend):
     return backend.load.memory_free
 
 
-def _long_then_free(backend):
+def _group_preference(backend):
     return (backend.serving_long, -backend.load.memory_free)
 
 
--- a/crankchute/core/forward_flow.py
+++ b/crankchute/core/forward_flow.py
@@ -1,10 +1,10 @@
-"""One forwarded request on its way: attempts, retries, resumption, its end.
+"""The life cycle of a forwarded request: attempts, retries and resumption.
 
-A request that may start once goes to another server only after a proof that
-it did not start: a refused connection, or the server's own word.  Whatever
-happens after its bytes left without an answer is unknown.  A stream that may
-be resumed is taken up at another server after the last event that the caller
-has; a part of an event is never passed on.
+A non-repeatable request is retried only if it certainly did not start: the
+connection or the server refused it.  Once bytes were sent and no answer
+arrived, its outcome is unknown.  A resumable stream continues at another
+server after the last event that the caller received; incomplete events are
+never forwarded.
 """
 
 from crankchute.core.forward_attempt import FIRST_SERVER_ERROR, Attempt
@@ -13,18 +13,19 @@
 
 
 class ForwardFlow:
-    """Serves one job; its sink is told exactly one end.
+    """Serves one job; its sink receives exactly one end.
 
     Attributes:
       job: The ForwardJob.
       attempt: The Attempt in progress, or None.
-      attempts: How many times the request was sent, an int.
-      delivered: The id of the last event that the caller has, or None.
-      passed: How many events were passed on, an int.
+      attempts: The number of times that the request was sent.
+      delivered: The id of the last event that the caller received, or None.
+      ended: Whether the request has ended.
+      passed: The number of forwarded events.
     """
 
-    #: When to come back after a request that started and did not finish.
-    unfinished_hint_ms = None
+    #: Retry hint in milliseconds for a request that started but did not finish.
+    unfinished_retry_after_ms = None
 
     __slots__ = (
         '_avoided',
@@ -44,11 +45,11 @@
     )
 
     def __init__(self, job, desk, sink):
-        """Create a flow; start() begins it.
+        """Create a flow; start() sends the request.
 
         Args:
           job: A ForwardJob.
-          desk: A ForwardDesk.
+          desk: The ForwardDesk, or another AttemptContext.
           sink: An AnswerSink.
         """
         self._desk = desk
@@ -67,13 +68,13 @@
         self.passed = 0
 
     def start(self):
-        """Send the request and watch its deadline."""
+        """Send the request and start its deadline timer."""
         remaining_ms = self.job.remaining_ms(self.now_ms())
         self._timer = self._desk.after(remaining_ms, self._on_deadline)
         self._try_next(None)
 
     def end(self, refusal):
-        """End the request without an answer.
+        """End the request with a refusal.
 
         Args:
           refusal: A Refusal.
@@ -84,18 +85,18 @@
             self._end(refusal.outcome, refusal.code)
 
     def cancel(self):
-        """Give the request up because its caller is gone."""
+        """Cancel the request because its caller disconnected."""
         if self.ended:
             return
         self._cancel_attempt()
         self._end(Outcome.FAILED, 'caller_gone')
 
     def now_ms(self):
-        """Return the time on this process's clock."""
+        """Return the current time on this process's clock."""
         return self._desk.now_ms()
 
     def on_event(self, attempt, head, event):
-        """Pass an event on, unless the caller has it already."""
+        """Forward an event, unless the caller already received it."""
         if self._expire_if_late():
             return
         if not self._is_new(event):
@@ -110,18 +111,18 @@
         self._sink.on_event(event)
 
     def on_attempt_sent(self, attempt):
-        """Count an attempt that is sent now."""
+        """Count an attempt that is being sent."""
         self.attempts += 1
         self._desk.note_attempt(self, attempt, self._cause)
 
-    def on_attempt_unreserved(self, attempt, refused):
-        """Choose anew when engines set no memory aside."""
+    def on_reservation_refused(self, attempt, refused):
+        """Choose other servers after helpers refused to reserve memory."""
         self.attempt = None
         self._avoided.update(one.backend.identity for one in refused)
         self._try_next('no_memory')
 
     def on_attempt_end(self, attempt, head, body):
-        """End with the server's answer, or try again after its failure."""
+        """End with the server's answer, or retry after a 5xx status."""
         self.attempt = None
         self._desk.note_attempt_end(self, attempt, str(head.status))
         self._desk.crash_watch.note_answered(self.job.fingerprint)
@@ -129,61 +130,64 @@
             if not self._expire_if_late():
                 self._finish_stream(head)
             return
-        is_fault = head.status >= FIRST_SERVER_ERROR
-        may_repeat = is_fault and self.job.may_repeat
-        if may_repeat and self._may_go_on(attempt.backend):
+        is_server_error = head.status >= FIRST_SERVER_ERROR
+        may_repeat = is_server_error and self.job.may_repeat
+        if may_repeat and self._may_retry(attempt.backend):
             self._maybe_ran = True
             self._last_answer = (head, body)
             self._try_next(head.status)
         elif self._streaming:
-            self._break_off('not_resumed', 'the stream was not taken up')
+            self._abort_stream('not_resumed', 'the stream was not taken up')
         else:
             self._sink.on_answer(head, body)
-            outcome = Outcome.FAILED if is_fault else Outcome.OK
+            outcome = Outcome.FAILED if is_server_error else Outcome.OK
             self._end(outcome, str(head.status))
 
     def on_attempt_not_run(self, attempt, rejection):
-        """Try elsewhere after a server that did not start."""
+        """Retry at another server after a rejection."""
         self.attempt = None
         self._desk.note_attempt_end(self, attempt, rejection.code)
         self._desk.note_rejection(self, attempt, rejection)
-        faulty = attempt.placement.find_faulty(rejection.at_server)
-        if self._may_go_on(faulty):
+        rejecting = attempt.placement.find_rejecting_server(rejection.at_server)
+        if self._may_retry(rejecting):
             self._try_next(rejection.code)
         else:
-            self._give_up(rejection.code, 'no backend server took it')
+            self._fail(rejection.code, 'no backend server took it')
 
     def on_attempt_failed(self, attempt, exc):
-        """Try elsewhere if that is allowed, or end."""
+        """Retry at another server if that is allowed, or end."""
         self._note_failed(attempt, exc)
         if not exc.sent:
             self.attempts -= 1
             self._try_next('not_connected')
             return
 
-        def go_on():
+        def retry_or_fail():
             if self.ended:
                 return
             watch = self._desk.crash_watch
             is_safe = watch.may_try_again(self.job.fingerprint)
             may_repeat = self.job.may_repeat and is_safe
-            if may_repeat and self._may_go_on(attempt.backend):
+            if may_repeat and self._may_retry(attempt.backend):
                 self._try_next('failed')
             else:
-                self._give_up('backend_failed', str(exc))
+                self._fail('backend_failed', str(exc))
 
-        self._after_failure(attempt, exc, go_on)
+        self._after_failure(attempt, exc, retry_or_fail)
 
-    def _after_failure(self, attempt, exc, go_on):
-        """Go on once it is known whether the request may be sent again."""
+    def _after_failure(self, attempt, exc, callback):
+        """Call back once it is known whether the server crashed.
+
+        The answer decides whether the request may be sent again.
+        """
         if exc.cut:
             self._desk.crash_watch.note_cut(
                 attempt,
                 self.job.fingerprint,
-                go_on,
+                callback,
             )
         else:
-            go_on()
+            callback()
 
     def _note_failed(self, attempt, exc):
         self.attempt = None
@@ -195,17 +199,17 @@
         if self._expire_if_late():
             return
 
-        def go_on(choice):
+        def start_attempt(choice):
             if self.ended:
                 return
             if isinstance(choice, Refusal):
-                self._give_up(choice.code, choice.text, choice.retry_after_ms)
+                self._fail(choice.code, choice.text, choice.retry_after_ms)
                 return
             self._cause = cause
             self.attempt = Attempt(self, self._desk, choice)
             self.attempt.start()
 
-        place_request(self._desk, self, self._avoided, go_on)
+        place_request(self._desk, self, self._avoided, start_attempt)
 
     def _finish_stream(self, head):
         if not self._streaming:
@@ -213,7 +217,7 @@
         self._sink.on_end()
         self._end(Outcome.OK, 'whole')
 
-    def _may_go_on(self, backend):
+    def _may_retry(self, backend):
         self._avoided.add(backend.identity)
         has_attempts = self.attempts < self.job.max_attempts
         return has_attempts and self._desk.take_retry(self.job)
@@ -234,10 +238,10 @@
         if self._cancel_attempt():
             self._maybe_ran = True
         self._last_answer = None
-        self._give_up('deadline_exceeded', 'the deadline has passed')
+        self._fail('deadline_exceeded', 'the deadline has passed')
 
     def _cancel_attempt(self):
-        """Give up the attempt, and tell whether it had been sent."""
+        """Cancel the attempt; return whether it may have reached its server."""
         attempt = self.attempt
         self.attempt = None
         if attempt is None or not attempt.cancel():
@@ -245,37 +249,37 @@
         self._desk.note_attempt_end(self, attempt, 'cancelled')
         return True
 
-    def _give_up(self, code, text, retry_after_ms=None):
+    def _fail(self, code, text, retry_after_ms=None):
         if self._streaming:
-            self._break_off(code, text)
+            self._abort_stream(code, text)
             return
         if self._last_answer is not None:
-            # A failure that a server gave says more than one of ours.
+            # An error answer from a server is more specific than a refusal.
             head, body = self._last_answer
             self._sink.on_answer(head, body)
             self._end(Outcome.FAILED, str(head.status))
             return
         if retry_after_ms is None:
-            retry_after_ms = self._desk.choose_hint_ms(self.job)
+            retry_after_ms = self._desk.choose_retry_after_ms(self.job)
         if self._maybe_ran:
             may_repeat = self.job.may_repeat
             refusal = Refusal(
                 Outcome.FAILED if may_repeat else Outcome.UNKNOWN,
                 code,
                 text,
-                retry_after_ms=self.unfinished_hint_ms,
+                retry_after_ms=self.unfinished_retry_after_ms,
             )
         else:
             refusal = refuse_not_run(code, text, retry_after_ms)
         self._sink.on_refused(refusal)
         self._end(refusal.outcome, code)
 
-    def _break_off(self, code, text):
+    def _abort_stream(self, code, text):
         refusal = Refusal(
             Outcome.FAILED,
             code,
             text,
-            retry_after_ms=self.unfinished_hint_ms,
+            retry_after_ms=self.unfinished_retry_after_ms,
         )
         self._sink.on_refused(refusal)
         self._end(Outcome.FAILED, code)
--- a/crankchute/core/single_flow.py
+++ b/crankchute/core/single_flow.py
@@ -1,13 +1,13 @@
-"""A completion on one engine at a time, on the forwarding engine.
+"""Serves a completion on one engine at a time.
 
-What is particular to completions is here: frames are matched to the attempt
-that asked for them, a flow without a free engine waits for its turn, and an
-engine that refuses is asked again after a pause.
+Extends forwarded requests with what is specific to completions: frames are
+matched to the attempt that requested them, flows queue until an engine has
+capacity, and requests that an engine refused are queued again.
 """
 
 from crankchute.core.forward_attempt import Attempt
 from crankchute.core.forward_flow import ForwardFlow
-from crankchute.core.frames import FrameFate, FrameMatcher
+from crankchute.core.frames import FrameMatch, FrameMatcher
 from crankchute.errors import BackendError
 from crankchute.ports.engines import EngineListener, GenerateOrder
 from crankchute.ports.forwarding import (
@@ -18,12 +18,12 @@
     StreamEvent,
 )
 
-_OK = 200
-_FAILED = 'engine_failed'
+_HTTP_OK = 200
+_ENGINE_FAILED = 'engine_failed'
 
 
 class CompletionCall(EngineListener):
-    """One order to an engine, whose frames become events."""
+    """One order to an engine; converts its frames to stream events."""
 
     __slots__ = ('_call', '_listener', '_matcher', '_metrics')
 
@@ -46,7 +46,7 @@
 
     @property
     def sent(self):
-        """Whether the order may have left, a bool."""
+        """Whether the order may have been sent."""
         return self._call is not None
 
     def start(self, engines, backend, order):
@@ -57,23 +57,23 @@
           backend: A Backend.
           order: A GenerateOrder.
         """
-        self._listener.on_head(AnswerHead(_OK))
+        self._listener.on_head(AnswerHead(_HTTP_OK))
         self._call = engines.generate(backend, order, self)
 
     def cancel(self):
-        """Give the order up."""
+        """Cancel the order."""
         if self._call is not None:
             self._call.cancel()
 
     def on_frame(self, frame):
         """See EngineListener."""
-        fate = self._matcher.match(frame)
-        if fate == FrameFate.TAKEN:
+        match = self._matcher.match(frame)
+        if match == FrameMatch.ACCEPTED:
             event = StreamEvent(self._matcher.offset, frame.tokens)
             self._listener.on_event(event)
-        elif fate == FrameFate.END:
+        elif match == FrameMatch.END:
             self._listener.on_end()
-        elif fate == FrameFate.GAP:
+        elif match == FrameMatch.GAP:
             self.cancel()
             text = 'a part of the stream is missing'
             self._listener.on_failed(BackendError(text, sent=True))
@@ -123,9 +123,9 @@
 
 
 class CompletionSink(AnswerSink):
-    """Hands the events of a completion to a RequestSink as tokens."""
+    """Converts the events of a completion to tokens for a RequestSink."""
 
-    __slots__ = ('_count', '_sink')
+    __slots__ = ('_sink', '_token_count')
 
     def __init__(self, sink):
         """Create the sink.
@@ -134,23 +134,23 @@
           sink: A RequestSink.
         """
         self._sink = sink
-        self._count = 0
+        self._token_count = 0
 
     def on_answer(self, head, body):
-        """See AnswerSink; completions have no such answers."""
+        """See AnswerSink; not called, since completions are streamed."""
 
     def on_head(self, head):
-        """See AnswerSink; a RequestSink needs none."""
+        """See AnswerSink; a RequestSink has no head."""
 
     def on_event(self, event):
-        """See AnswerSink; an event's number is the offset after it."""
-        self._count = event.number
+        """See AnswerSink; an event's number is the offset after its tokens."""
+        self._token_count = event.number
         tokens = event.payload
         self._sink.on_tokens(event.number - len(tokens), tokens)
 
     def on_end(self):
         """See AnswerSink."""
-        self._sink.on_end(self._count)
+        self._sink.on_end(self._token_count)
 
     def on_refused(self, refusal):
         """See AnswerSink."""
@@ -161,13 +161,13 @@
     """Serves one job on one engine at a time.
 
     Attributes:
-      first_ms: When the first token came, or None.
+      first_ms: When the first token arrived, or None.
     """
 
-    unfinished_hint_ms = 200
+    unfinished_retry_after_ms = 200
 
     def __init__(self, job, desk, sink):
-        """Create a flow; start() queues it, run() sends it.
+        """Create a flow; start() queues it and run() sends it.
 
         Args:
           job: The Job.
@@ -178,7 +178,7 @@
         self.first_ms = None
 
     def run(self):
-        """Send the request to an engine if one has room.
+        """Send the request if an engine has capacity.
 
         Returns:
           False if the flow must wait.
@@ -192,43 +192,47 @@
         return True
 
     def token_gap_ms(self):
-        """Return the mean time between the tokens that were delivered."""
+        """Return the mean time between delivered tokens in milliseconds."""
         if self.first_ms is None:
             return 0
         elapsed_ms = self.now_ms() - self.first_ms
         return elapsed_ms / max(self.delivered - 1, 1)
 
     def on_attempt_not_run(self, attempt, rejection):
-        """Wait and try again after an engine that did not start."""
+        """Queue the request again after a refusal by an engine."""
         self.attempt = None
         self._desk.note_attempt_end(self, attempt, rejection.code)
         self._desk.note_rejection(self, attempt, rejection)
         self._desk.requeue(self)
 
     def on_attempt_failed(self, attempt, exc):
-        """Try elsewhere within the retry budget, or end."""
+        """Retry on another engine if the retry budget allows, or end."""
         self._note_failed(attempt, exc)
 
-        def go_on():
+        def retry_or_fail():
             if self.ended or self._ends_if_held():
                 return
             if self._desk.take_retry(self.job):
                 self._go_on_elsewhere()
             else:
-                self._give_up(_FAILED, str(exc))
+                self._fail(_ENGINE_FAILED, str(exc))
 
-        self._after_failure(attempt, exc, go_on)
+        self._after_failure(attempt, exc, retry_or_fail)
 
     def _go_on_elsewhere(self):
-        """Send the request to another engine after a failure."""
-        self._try_next(_FAILED)
+        """Retry the request after a failure."""
+        self._try_next(_ENGINE_FAILED)
 
     def _ends_if_held(self):
-        """End a request that crashes engines; tell whether it did."""
+        """End a request that is blocked for crashing engines.
+
+        Returns:
+          Whether the request was ended.
+        """
         refusal = self._desk.crash_watch.find_refusal(self.job.fingerprint)
         if refusal is None:
             return False
-        self._give_up(refusal.code, refusal.text, refusal.retry_after_ms)
+        self._fail(refusal.code, refusal.text, refusal.retry_after_ms)
         return True
 
     def _launch(self, placement):
@@ -236,5 +240,5 @@
         self.attempt.start()
 
     def _try_next(self, cause):
-        """Wait for a turn; the queue calls run()."""
+        """Queue the request; the dispatcher calls run()."""
         self._desk.enqueue(self)
