--- a/crankchute/core/active_choice.py
+++ b/crankchute/core/active_choice.py
@@ -35,7 +35,7 @@
     return xxhash.xxh32_intdigest(text.encode())
 
 
-def find_nearest(members, own):
+def choose_home(members, own):
     """Return the member that an instance asks, or None if there is none.
 
     One of its own data centre is asked where there is any, and as far as
--- a/crankchute/core/active_instances.py
+++ b/crankchute/core/active_instances.py
@@ -11,17 +11,17 @@
     Ranking,
     count_active,
     digest_members,
-    find_nearest,
+    choose_home,
 )
 from crankchute.core.peer_view import PeerView
 
 #: How often an active instance speaks to each other active one, news or not.
-PACE_MS = 250
+EXCHANGE_INTERVAL_MS = 250
 #: Beyond so many other active ones the pace slows, so that one of them sends
 #: no more than 48 such messages a second however large the fleet is.
 _PACE_INSTANCES = 12
 #: How often any other instance asks its home, in milliseconds.
-HOME_PACE_MS = 500
+HOME_POLL_INTERVAL_MS = 500
 #: One lost answer may be chance; an instance is left out after this long
 #: without any.
 _SILENT_MS = 600
@@ -68,7 +68,7 @@
         return [one for one in self.chosen if one.identity != self._own]
 
     @property
-    def includes_own(self):
+    def is_own_active(self):
         """Whether this instance is active, a bool."""
         return any(one.identity == self._own for one in self.chosen)
 
@@ -102,10 +102,10 @@
         )
         self._own_choice = frozenset(one.identity for one in own_choice)
         self.chosen = own_choice
-        if not self.includes_own:
+        if not self.is_own_active:
             self.chosen = self._list_told() or own_choice
 
-    def note_told(self, briefing, *, is_answer):
+    def record_active_list(self, briefing, *, is_answer):
         """Take the active instances that another one named.
 
         Only the word of one that is active itself keeps a list in force:
@@ -135,7 +135,7 @@
         if is_active:
             self._vouch_all()
 
-    def note_wish(self, briefing):
+    def record_subscription(self, briefing):
         """Take what another instance wants to be told.
 
         Args:
@@ -143,7 +143,7 @@
         """
         now_ms = self._now_ms()
         view = self.view(briefing.instance)
-        view.feed.note_wish(briefing, now_ms)
+        view.feed.record_subscription(briefing, now_ms)
         if briefing.wants_work:
             self._wishers[briefing.instance] = view
 
@@ -154,26 +154,26 @@
         possible each by the same number of instances.
         """
         own = self._parts.get(self._own)
-        return None if own is None else find_nearest(self.others, own)
+        return None if own is None else choose_home(self.others, own)
 
-    def note_silent(self, member):
+    def record_no_response(self, member):
         """Note that an instance did not answer this one, its follower.
 
         Args:
           member: A Member.
         """
         view = self.view(member.identity)
-        view.heard_ms = None
-        view.vouched_ms = None
+        view.last_received_ms = None
+        view.last_vouched_ms = None
         self._told = tuple(
             one for one in self._told if one.identity != member.identity
         )
 
     def pace_ms(self):
         """Return how often each active instance is spoken to."""
-        return PACE_MS * max(1, len(self.chosen) / _PACE_INSTANCES)
+        return EXCHANGE_INTERVAL_MS * max(1, len(self.chosen) / _PACE_INSTANCES)
 
-    def list_left_out(self):
+    def list_excluded(self):
         """Return the first Members by rank that are left out for a fault.
 
         They are lost, stop, or have no fresh proof, as far as was heard; they
@@ -188,7 +188,7 @@
         followers = []
         for identity, view in tuple(self._wishers.items()):
             member = self._parts.get(identity)
-            if not view.feed.is_wanted(self._now_ms(), self._silent_ms()):
+            if not view.feed.has_subscriber(self._now_ms(), self._silent_ms()):
                 self._wishers.pop(identity)
             elif identity not in told and member is not None:
                 followers.append(member)
@@ -211,8 +211,11 @@
         self._told_ms = now_ms
         for member in self._told:
             view = self.view(member.identity)
-            view.vouched_ms = now_ms
-            if view.heard_ms is None or now_ms - view.heard_ms > _TOLD_MS:
+            view.last_vouched_ms = now_ms
+            if (
+                view.last_received_ms is None
+                or now_ms - view.last_received_ms > _TOLD_MS
+            ):
                 view.is_serving = True
 
     def _list_told(self):
@@ -244,7 +247,7 @@
         view = self._views.get(member.identity)
         if view is None:
             return True
-        return self._is_vouched(view) or view.seems_sound(
+        return self._is_vouched(view) or view.is_healthy(
             self._now_ms(),
             self._silent_ms(),
         )
@@ -253,7 +256,7 @@
         view = self._views.get(member.identity)
         if view is None or member.identity == self._own:
             return False
-        if not view.seems_sound(self._now_ms(), self._silent_ms()):
+        if not view.is_healthy(self._now_ms(), self._silent_ms()):
             return True
         return not self._is_fresh(member)
 
@@ -262,9 +265,9 @@
 
         An active instance goes by what it sees itself.
         """
-        if self.includes_own or view.vouched_ms is None:
+        if self.is_own_active or view.last_vouched_ms is None:
             return False
-        age_ms = self._now_ms() - view.vouched_ms
+        age_ms = self._now_ms() - view.last_vouched_ms
         return view.is_serving and age_ms < _TOLD_MS
 
     def _is_fresh(self, member):
--- a/crankchute/core/peer_view.py
+++ b/crankchute/core/peer_view.py
@@ -11,12 +11,12 @@
     """What is known of another instance from its own messages.
 
     Attributes:
-      asked_ms: When it was last spoken to.
-      heard_ms: When it was last heard from, or None.
+      last_sent_ms: When it was last spoken to.
+      last_received_ms: When it was last heard from, or None.
       is_serving: Whether it said that it serves.
       proof_age_ms: The age of its proof when it was heard, or None.
-      digest: What it last told of the active instances, or None.
-      vouched_ms: When an active instance last named it as active, or None;
+      active_digest: What it last told of the active instances, or None.
+      last_vouched_ms: When an active instance last named it as active, or None;
         only noted where this instance does not speak to it itself.
       crash_digest: What it last told of the crashes that it remembers, 0 for
         none.
@@ -26,30 +26,30 @@
     __slots__ = (
         '_told_crashes',
         '_told_crashes_ms',
-        'asked_ms',
+        'last_sent_ms',
         'crash_digest',
-        'digest',
+        'active_digest',
         'feed',
-        'heard_ms',
+        'last_received_ms',
         'is_serving',
         'proof_age_ms',
-        'vouched_ms',
+        'last_vouched_ms',
     )
 
     def __init__(self):
         """Create the view of an instance that was never heard from."""
-        self.asked_ms = None
-        self.heard_ms = None
+        self.last_sent_ms = None
+        self.last_received_ms = None
         self.is_serving = True
         self.proof_age_ms = None
-        self.digest = None
+        self.active_digest = None
         self.crash_digest = 0
         self._told_crashes = None
         self._told_crashes_ms = None
-        self.vouched_ms = None
+        self.last_vouched_ms = None
         self.feed = WorkFeed()
 
-    def seems_sound(self, now_ms, silent_ms):
+    def is_healthy(self, now_ms, silent_ms):
         """Tell whether it answers, as far as is known.
 
         Args:
@@ -58,9 +58,9 @@
         """
         if not self.is_serving:
             return False
-        if self.asked_ms is None:
+        if self.last_sent_ms is None:
             return True
-        last_ms = self.heard_ms
+        last_ms = self.last_received_ms
         return last_ms is not None and now_ms - last_ms < silent_ms
 
     def is_silent(self, now_ms, silent_ms):
@@ -70,14 +70,14 @@
           now_ms: The time.
           silent_ms: How long an answer may take.
         """
-        if self.asked_ms is None:
+        if self.last_sent_ms is None:
             return False
-        if self.heard_ms is None:
+        if self.last_received_ms is None:
             return True
-        is_asked = self.asked_ms > self.heard_ms
-        return is_asked and now_ms - self.heard_ms >= silent_ms
+        is_asked = self.last_sent_ms > self.last_received_ms
+        return is_asked and now_ms - self.last_received_ms >= silent_ms
 
-    def lacks_crashes(self, digest, now_ms):
+    def claim_crash_report(self, digest, now_ms):
         """Tell whether it must be told of crashes with the next message.
 
         Args:
--- a/crankchute/core/sharing.py
+++ b/crankchute/core/sharing.py
@@ -19,8 +19,8 @@
 """
 
 from crankchute.core.active_instances import (
-    HOME_PACE_MS,
-    PACE_MS,
+    HOME_POLL_INTERVAL_MS,
+    EXCHANGE_INTERVAL_MS,
     ActiveInstances,
 )
 from crankchute.core.briefing import WorkNews
@@ -76,13 +76,13 @@
         An active instance has none: it speaks to all the others.
         """
         found = None
-        if not self.instances.includes_own:
+        if not self.instances.is_own_active:
             found = self.instances.find_home()
         return None if found is None else found.identity
 
     def start(self):
         """Begin to speak to the active instances."""
-        self._parts.timers.every(PACE_MS, self._on_pace)
+        self._parts.timers.every(EXCHANGE_INTERVAL_MS, self._on_pace)
         self._parts.crashes.subscribe(self.tell_soon)
 
     def note(self, change, work):
@@ -121,19 +121,19 @@
         """
         now_ms = self._now_ms()
         view = self.instances.view(briefing.instance)
-        view.heard_ms = now_ms
+        view.last_received_ms = now_ms
         view.is_serving = briefing.is_serving
         view.proof_age_ms = briefing.proof_age_ms
-        view.digest = briefing.digest
+        view.active_digest = briefing.digest
         view.crash_digest = briefing.crash_digest
         if briefing.crashes is not None:
             self._parts.crashes.take(briefing.crashes)
-        self.instances.note_wish(briefing)
-        for batch in view.feed.take(briefing, now_ms):
+        self.instances.record_subscription(briefing)
+        for batch in view.feed.receive(briefing, now_ms):
             apply_batch(self._parts.board, briefing.instance, batch)
         self._parts.take(briefing, asked_ms)
         is_answer = asked_ms is not None
-        self.instances.note_told(briefing, is_answer=is_answer)
+        self.instances.record_active_list(briefing, is_answer=is_answer)
 
     def answer(self, briefing):
         """Take what another instance told, and return what it is told.
@@ -152,7 +152,11 @@
         views = [
             self.instances.view(one.identity) for one in self.instances.others
         ]
-        known = [one.heard_ms for one in views if one.heard_ms is not None]
+        known = [
+            one.last_received_ms
+            for one in views
+            if one.last_received_ms is not None
+        ]
         return self._now_ms() - min(known) if known else None
 
     def is_among_first(self, count=None):
@@ -182,7 +186,7 @@
         return self._parts.timers.clock.now_ms()
 
     def _wants_work(self):
-        if self.instances.includes_own:
+        if self.instances.is_own_active:
             return True
         return self._now_ms() - self._chose_ms < _INTEREST_MS
 
@@ -198,13 +202,13 @@
             return
         home = self.instances.find_home()
         if home is not None:
-            self._ask_all(HOME_PACE_MS, (home,))
+            self._ask_all(HOME_POLL_INTERVAL_MS, (home,))
 
     def _ask_all(self, pace_ms, members=None):
         """Speak to members that were not spoken to for a turn of a pace."""
         now_ms = self._now_ms()
         for member in members or self._to_ask():
-            asked_ms = self.instances.view(member.identity).asked_ms
+            asked_ms = self.instances.view(member.identity).last_sent_ms
             if asked_ms is None or now_ms >= asked_ms + pace_ms - _FLUSH_MS:
                 self._speak(member, [])
 
@@ -217,7 +221,7 @@
 
     def _to_ask(self):
         """Return the active instances, and a few that are left out."""
-        left_out = self.instances.list_left_out()
+        left_out = self.instances.list_excluded()
         count = min(len(left_out), _MOST_LEFT_OUT)
         asked_again = self._parts.random.sample(left_out, count)
         return [*self.instances.others, *asked_again]
@@ -232,17 +236,17 @@
     def _speak(self, member, news):
         view = self.instances.view(member.identity)
         now_ms = self._now_ms()
-        if view.asked_ms is None:
+        if view.last_sent_ms is None:
             # Until the first answer had time to come it counts as sound.
-            view.heard_ms = now_ms
-        view.asked_ms = now_ms
+            view.last_received_ms = now_ms
+        view.last_sent_ms = now_ms
         briefing = self._make_briefing(view, news)
 
         def take(reply):
             if reply is not None:
                 self.hear(reply, now_ms)
             elif not self._wants_work():
-                self.instances.note_silent(member)
+                self.instances.record_no_response(member)
                 self._ask_next_home()
 
         self._parts.send(member, briefing, take, _TIMEOUT_MS)
@@ -250,12 +254,12 @@
     def _make_briefing(self, view, news):
         digest = self.instances.digest
         crashes = self._parts.crashes
-        must_tell = view.lacks_crashes(crashes.digest, self._now_ms())
+        must_tell = view.claim_crash_report(crashes.digest, self._now_ms())
         return self._parts.make_briefing(
-            active=() if view.digest == digest else self.active,
+            active=() if view.active_digest == digest else self.active,
             digest=digest,
             wants_work=self._wants_work(),
-            lacks_work=view.feed.lacks_work(self._now_ms()),
+            lacks_work=view.feed.is_incomplete(self._now_ms()),
             batch=view.feed.make_batch(news, self._own_works),
             crash_digest=crashes.digest,
             crashes=crashes.tell() if must_tell else None,
--- a/crankchute/core/work_feed.py
+++ b/crankchute/core/work_feed.py
@@ -39,7 +39,7 @@
         self._boot = None
         self._forget()
 
-    def is_wanted(self, now_ms, patience_ms):
+    def has_subscriber(self, now_ms, patience_ms):
         """Tell whether the other instance wants this one's news.
 
         Args:
@@ -50,7 +50,7 @@
             return False
         return now_ms - self._wanted_ms < patience_ms
 
-    def note_wish(self, briefing, now_ms):
+    def record_subscription(self, briefing, now_ms):
         """Take what the other instance wants.
 
         Args:
@@ -79,7 +79,7 @@
             self._told += 1
         return WorkBatch(self._told, news)
 
-    def lacks_work(self, now_ms):
+    def is_incomplete(self, now_ms):
         """Tell whether some of the other instance's work is not known here.
 
         Args:
@@ -91,7 +91,7 @@
             self._gap_ms is not None and now_ms - self._gap_ms > _OVERTAKEN_MS
         )
 
-    def take(self, briefing, now_ms):
+    def receive(self, briefing, now_ms):
         """Take a batch of the other instance.
 
         Args:
--- a/crankchute/core/work_feed_test.py
+++ b/crankchute/core/work_feed_test.py
@@ -84,9 +84,9 @@
             'learner',
             batch=None,
             wants_work=True,
-            lacks_work=self.learner.lacks_work(self.now_ms),
+            lacks_work=self.learner.is_incomplete(self.now_ms),
         )
-        self.teller.note_wish(wish, self.now_ms)
+        self.teller.record_subscription(wish, self.now_ms)
 
     @rule(chosen=st.integers(0, 3))
     def deliver(self, chosen):
@@ -97,7 +97,7 @@
         # Connections end with their process, and their messages with them.
         if briefing.boot != f'boot-{self.boot}':
             return
-        for batch in self.learner.take(briefing, self.now_ms):
+        for batch in self.learner.receive(briefing, self.now_ms):
             apply_batch(self.learned, TELLER, batch)
 
     @rule()
@@ -138,7 +138,7 @@
         """Both agree once the network was good for long enough."""
         for _ in range(3):
             self.exchange()
-        assert not self.learner.lacks_work(self.now_ms)
+        assert not self.learner.is_incomplete(self.now_ms)
         own = {one.key: one.started for one in self.board.works_of(None)}
         told = {one.key: one.started for one in self.learned.works_of(TELLER)}
         assert told == own
