--- a/bench/ablations.py
+++ b/bench/ablations.py
@@ -83,8 +83,8 @@
 _leave_out(
     'few active instances',
     f'{_CORE}/active_choice.py',
-    '_LEAST_ACTIVE = 3',
-    '_LEAST_ACTIVE = 99',
+    '_MIN_ACTIVE = 3',
+    '_MIN_ACTIVE = 99',
 )
 _leave_out(
     'reports at the start',
--- a/crankchute/core/active_choice.py
+++ b/crankchute/core/active_choice.py
@@ -1,7 +1,7 @@
-"""Which members are the active ones: the strongest, over all data centres.
+"""Selection of the active instances: the strongest, across data centres.
 
-Every instance that knows the same members, and the same of them as sound,
-chooses the same ones, without an agreement.
+The selection is deterministic: instances with the same view of the members and
+of their health select the same active ones without coordination.
 """
 
 import hashlib
@@ -9,45 +9,44 @@
 
 import xxhash
 
-#: How many active instances there are at least, and one more for each so many
-#: instances.
-_LEAST_ACTIVE = 3
+_MIN_ACTIVE = 3
+#: One instance in this many is active, once that exceeds the minimum.
 _INSTANCES_PER_ACTIVE = 24
 
 
 def count_active(known):
-    """Return how many instances callers are sent to.
+    """Return the number of active instances for a fleet size.
 
     Args:
-      known: How many instances there are.
+      known: The number of instances.
     """
-    wanted = max(_LEAST_ACTIVE, -(-known // _INSTANCES_PER_ACTIVE))
+    wanted = max(_MIN_ACTIVE, -(-known // _INSTANCES_PER_ACTIVE))
     return min(known, wanted)
 
 
 def digest_members(members):
-    """Return a number that tells apart lists of members.
+    """Return a hash that identifies an ordered list of members.
 
     Args:
-      members: An iterable of Member; their order counts.
+      members: An iterable of Member.
     """
     text = ' '.join(member.identity for member in members)
     return xxhash.xxh32_intdigest(text.encode())
 
 
 def choose_home(members, own):
-    """Return the member that an instance asks, or None if there is none.
+    """Return the active member that an instance polls, or None.
 
-    One of its own data centre is asked where there is any, and as far as
-    possible each by the same number of instances.
+    Members in the instance's own data centre are preferred.  The hash spreads
+    the polling instances evenly over the candidates.
 
     Args:
-      members: Members that are active.
-      own: The Member that asks.
+      members: The active Members to choose from.
+      own: The Member that polls.
     """
-    near = [one for one in members if one.data_centre == own.data_centre]
+    local = [one for one in members if one.data_centre == own.data_centre]
     return min(
-        near or members,
+        local or members,
         key=lambda one: digest_members((one, own)),
         default=None,
     )
@@ -56,12 +55,14 @@
 class Ranking:
     """Members in the order in which they become active.
 
-    The strongest go first, since one loop on one processor chooses and relays
-    for all callers; the hash of the id parts those that are alike.  On a quiet
-    day of 195 instances, 15 of them with four times the processor, 97 in 100
-    short prompts came in time, 83 when the hash alone decided (one play each,
-    with other changes).  Each class of strength is kept by data centre, so
-    that a choice is spread over them without looking at every member.
+    Members with more CPU come first, because a single event loop on an active
+    instance schedules and relays the requests of all clients.  Members of the
+    same strength class are ordered by a hash of their id.  Each class is
+    indexed by data centre, so that a choice across data centres does not scan
+    every member.
+
+    Attributes:
+      members: All ranked Members, best first.
     """
 
     __slots__ = ('_classes', 'members')
@@ -72,58 +73,58 @@
         Args:
           members: An iterable of Member.
         """
-        self.members = sorted(members, key=_rank)
+        self.members = sorted(members, key=_rank_key)
         self._classes = {}
         for member in self.members:
-            centres = self._classes.setdefault(_grade(member), {})
-            centres.setdefault(member.data_centre, []).append(member)
+            by_centre = self._classes.setdefault(_strength_class(member), {})
+            by_centre.setdefault(member.data_centre, []).append(member)
 
     def __len__(self):
-        """Return how many members are ranked."""
+        """Return the number of ranked members."""
         return len(self.members)
 
     def choose(self, count, accepts):
-        """Choose members, as far as possible in different data centres.
+        """Choose members, spread over as many data centres as possible.
 
         Args:
-          count: How many.
-          accepts: A function of a Member that tells whether it may be chosen.
+          count: The number of members to choose.
+          accepts: A predicate on a Member; only matching members are chosen.
         Returns:
-          A list of Member; fewer if not as many are accepted.
+          A list of Member, shorter than `count` if too few match.
         """
         chosen = []
-        for centres in self._classes.values():
-            waiting = [iter(members) for members in centres.values()]
-            while waiting and len(chosen) < count:
-                waiting = _choose_round(waiting, accepts, chosen)
+        for by_centre in self._classes.values():
+            remaining = [iter(members) for members in by_centre.values()]
+            while remaining and len(chosen) < count:
+                remaining = _choose_one_per_centre(remaining, accepts, chosen)
         return chosen[:count]
 
 
-def _choose_round(waiting, accepts, chosen):
-    """Choose one member of each data centre, the first by rank first.
+def _choose_one_per_centre(remaining, accepts, chosen):
+    """Choose the best matching member of each data centre, in rank order.
 
     Args:
-      waiting: Iterators over the members of each data centre.
+      remaining: Iterators over the members of each data centre.
       accepts: See Ranking.choose.
-      chosen: A list that the members are added to.
+      chosen: The list that the members are appended to.
     Returns:
-      The iterators that have more.
+      The iterators that are not exhausted.
     """
-    found = [(next(filter(accepts, one), None), one) for one in waiting]
+    found = [(next(filter(accepts, one), None), one) for one in remaining]
     found = [pair for pair in found if pair[0] is not None]
-    found.sort(key=lambda pair: _rank(pair[0]))
+    found.sort(key=lambda pair: _rank_key(pair[0]))
     chosen.extend(member for member, _rest in found)
     return [rest for _member, rest in found]
 
 
-def _grade(member):
-    """Return the class of a member's strength; the strongest is the least.
+def _strength_class(member):
+    """Return the strength class of a member; lower means more CPU.
 
-    Each doubling of the processor is a class; within one, members are alike.
+    Each doubling of the CPU is one class.
     """
     return -round(math.log2(max(member.strength, 1)))
 
 
-def _rank(member):
+def _rank_key(member):
     digest = hashlib.blake2b(member.identity.encode(), digest_size=8)
-    return _grade(member), digest.digest()
+    return _strength_class(member), digest.digest()
