--- a/bench/ablations.py
+++ b/bench/ablations.py
@@ -71,8 +71,8 @@
 _leave_out(
     'all work at once',
     f'{_CORE}/work_feed.py',
-    'if self._owes_all:',
-    'if self._owes_all and not self:',
+    'if self._owes_snapshot:',
+    'if self._owes_snapshot and not self:',
 )
 _leave_out(
     'followers',
--- a/crankchute/core/work_feed.py
+++ b/crankchute/core/work_feed.py
@@ -1,155 +1,157 @@
-"""How an instance learns all work of another one, and knows that it did.
-
-News of work are told as it changes, in numbered batches.  Whoever missed one,
-or has just begun to choose engines, asks for all work at once; so an instance
-that starts, or that callers are suddenly sent to, soon knows what runs at the
-engines, and a lost message leaves no wrong belief behind.  Without the telling
-of all work the worth of a day on which every instance is restarted is 0.05 lower
-(mean of three plays).
+"""Replication of the work in progress between two instances.
+
+Changes are sent in numbered batches.  A receiver that missed a batch, or that
+has just subscribed, requests a snapshot of all work.  A lost message therefore
+leaves no stale entry behind, and an instance that has just started, or that
+clients have just been sent to, learns the load of the engines at once instead
+of taking them all for idle.
 """
 
 from crankchute.core.briefing import WorkBatch, WorkNews
 from crankchute.core.engine_board import Change
 
-#: A batch may overtake another one; only what is missing for longer is asked
-#: for, in milliseconds.  Messages between data centres take 1 to 5 ms.
-_OVERTAKEN_MS = 50
+#: Batches may arrive out of order.  A gap that lasts longer than this, which
+#: exceeds the latency between data centres, counts as a loss.
+_REORDER_WINDOW_MS = 50
 
 
 class WorkFeed:
-    """The two feeds between this instance and another one."""
+    """Both directions of replication between this instance and a peer."""
 
     __slots__ = (
-        '_ahead',
+        '_applied_number',
         '_boot',
-        '_gap_ms',
-        '_has_base',
-        '_latest',
-        '_owes_all',
-        '_read',
-        '_told',
-        '_wanted_ms',
+        '_gap_since_ms',
+        '_has_snapshot',
+        '_highest_number',
+        '_owes_snapshot',
+        '_pending',
+        '_sent_number',
+        '_subscribed_ms',
     )
 
     def __init__(self):
-        """Create the feeds of an instance that was never heard from."""
-        self._told = 0
-        self._owes_all = False
-        self._wanted_ms = None
+        """Create the feed of a peer without any message."""
+        self._sent_number = 0
+        self._owes_snapshot = False
+        self._subscribed_ms = None
         self._boot = None
-        self._forget()
+        self._reset()
 
-    def has_subscriber(self, now_ms, patience_ms):
-        """Tell whether the other instance wants this one's news.
+    def has_subscriber(self, now_ms, timeout_ms):
+        """Tell whether the peer subscribes to this instance's work.
 
         Args:
-          now_ms: The time.
-          patience_ms: How long its last wish counts.
+          now_ms: The current time.
+          timeout_ms: How long a subscription lasts without renewal.
         """
-        if self._wanted_ms is None:
+        if self._subscribed_ms is None:
             return False
-        return now_ms - self._wanted_ms < patience_ms
+        return now_ms - self._subscribed_ms < timeout_ms
 
     def record_subscription(self, briefing, now_ms):
-        """Take what the other instance wants.
+        """Record whether the peer subscribes, and whether it needs a snapshot.
 
         Args:
-          briefing: Its Briefing.
-          now_ms: The time.
+          briefing: The peer's Briefing.
+          now_ms: The current time.
         """
         if briefing.wants_work:
-            self._wanted_ms = now_ms
-            self._owes_all = self._owes_all or briefing.lacks_work
+            self._subscribed_ms = now_ms
+            self._owes_snapshot = self._owes_snapshot or briefing.lacks_work
 
     def make_batch(self, news, own_works):
-        """Return the batch that goes with the next message.
+        """Return the batch for the next message to the peer.
 
         Args:
           news: A list of WorkNews.
           own_works: A function that returns all Works of this instance.
         Returns:
-          A WorkBatch.
+          A WorkBatch; a snapshot if the peer requested one.
         """
-        if self._owes_all:
-            self._owes_all = False
-            self._told += 1
-            whole = [WorkNews(_change_of(work), work) for work in own_works()]
-            return WorkBatch(self._told, whole, is_whole=True)
+        if self._owes_snapshot:
+            self._owes_snapshot = False
+            self._sent_number += 1
+            snapshot = [
+                WorkNews(_last_change(work), work) for work in own_works()
+            ]
+            return WorkBatch(self._sent_number, snapshot, is_whole=True)
         if news:
-            self._told += 1
-        return WorkBatch(self._told, news)
+            self._sent_number += 1
+        return WorkBatch(self._sent_number, news)
 
     def is_incomplete(self, now_ms):
-        """Tell whether some of the other instance's work is not known here.
+        """Tell whether a snapshot of the peer's work is needed.
 
         Args:
-          now_ms: The time.
+          now_ms: The current time.
         """
-        if not self._has_base:
+        if not self._has_snapshot:
             return True
         return (
-            self._gap_ms is not None and now_ms - self._gap_ms > _OVERTAKEN_MS
+            self._gap_since_ms is not None
+            and now_ms - self._gap_since_ms > _REORDER_WINDOW_MS
         )
 
     def receive(self, briefing, now_ms):
-        """Take a batch of the other instance.
+        """Process the batch in a message from the peer.
 
         Args:
-          briefing: Its Briefing.
-          now_ms: The time.
+          briefing: The peer's Briefing.
+          now_ms: The current time.
         Returns:
-          The WorkBatches that may be put on the board now, in order; one
-          that overtook another waits for it.
+          The WorkBatches to apply now, in order.  A batch that arrived early
+          is held back until the ones before it arrive.
         """
         if briefing.boot != self._boot:
             self._boot = briefing.boot
-            self._forget()
-        ready = self._sort(briefing.batch)
-        if self._latest == self._read:
-            self._gap_ms = None
-        elif self._gap_ms is None:
-            self._gap_ms = now_ms
+            self._reset()
+        ready = self._reorder(briefing.batch)
+        if self._highest_number == self._applied_number:
+            self._gap_since_ms = None
+        elif self._gap_since_ms is None:
+            self._gap_since_ms = now_ms
         return ready
 
-    def _sort(self, batch):
-        """Return the batches whose turn has come."""
+    def _reorder(self, batch):
+        """Add a batch, and return those that are next in sequence."""
         ready = []
-        self._latest = max(self._latest, batch.number)
-        if batch.number > self._read and batch.is_whole:
-            self._has_base = True
-            self._read = batch.number
+        self._highest_number = max(self._highest_number, batch.number)
+        if batch.number > self._applied_number and batch.is_whole:
+            self._has_snapshot = True
+            self._applied_number = batch.number
             ready.append(batch)
-        elif batch.number > self._read and batch.news:
-            self._ahead[batch.number] = batch
-        self._ahead = {
+        elif batch.number > self._applied_number and batch.news:
+            self._pending[batch.number] = batch
+        self._pending = {
             number: one
-            for number, one in self._ahead.items()
-            if number > self._read
+            for number, one in self._pending.items()
+            if number > self._applied_number
         }
-        while self._read + 1 in self._ahead:
-            self._read += 1
-            ready.append(self._ahead.pop(self._read))
+        while self._applied_number + 1 in self._pending:
+            self._applied_number += 1
+            ready.append(self._pending.pop(self._applied_number))
         return ready
 
-    def _forget(self):
-        """Forget what an earlier process told."""
-        self._has_base = False
-        self._read = 0
-        self._latest = 0
-        self._ahead = {}
-        self._gap_ms = None
+    def _reset(self):
+        """Discard the state received from an earlier process of the peer."""
+        self._has_snapshot = False
+        self._applied_number = 0
+        self._highest_number = 0
+        self._pending = {}
+        self._gap_since_ms = None
 
 
-def _change_of(work):
+def _last_change(work):
     return Change.STARTED if work.started else Change.SENT
 
 
 def apply_batch(board, origin, batch):
-    """Put an instance's news on the board.
+    """Apply a batch from another instance to the board.
 
     Args:
       board: An EngineBoard.
-      origin: The id of the instance that told them.
+      origin: The id of the instance that sent the batch.
       batch: A WorkBatch.
     """
     for one in batch.news:
