--- a/crankchute/core/active_instances.py
+++ b/crankchute/core/active_instances.py
@@ -1,51 +1,51 @@
-"""Which instances callers are sent to, and what is known of each.
+"""The active instances, and the health of each as one instance sees it.
 
-An active instance sees for itself who answers.  Any other instance asks one
-active one, its home, and takes over which instances that one names, so that
-what it costs to know them does not grow with the fleet.
+An active instance exchanges messages with all other active ones and judges
+their health itself.  Any other instance polls one active instance, its home,
+and adopts the list that the home reports.  The cost per instance therefore
+does not grow with the fleet.
 """
 
 from itertools import islice
 
 from crankchute.core.active_choice import (
     Ranking,
+    choose_home,
     count_active,
     digest_members,
-    choose_home,
 )
 from crankchute.core.peer_view import PeerView
 
-#: How often an active instance speaks to each other active one, news or not.
+#: How often an active instance sends to each other active one.
 EXCHANGE_INTERVAL_MS = 250
-#: Beyond so many other active ones the pace slows, so that one of them sends
-#: no more than 48 such messages a second however large the fleet is.
-_PACE_INSTANCES = 12
-#: How often any other instance asks its home, in milliseconds.
+#: With more active instances than this the interval grows in proportion, so
+#: that each of them sends at most 48 such messages per second.
+_FULL_RATE_INSTANCES = 12
+#: How often any other instance polls its home.
 HOME_POLL_INTERVAL_MS = 500
-#: One lost answer may be chance; an instance is left out after this long
-#: without any.
-_SILENT_MS = 600
-#: Where the pace is slow, silence has to last for so many of its turns.
-_SILENT_PACES = 2.4
-#: How long the list that a home told counts without another answer; after
-#: that an instance chooses by its own knowledge.
-_TOLD_MS = 3000
-#: How old the proof of the configuration may be in an active instance.
-_FRESH_PROOF_MS = 3200
-#: Instances that are left out are asked again among so many times those that
-#: are active, the first by rank: these would be active without their fault.
-_LEFT_OUT_FACTOR = 2
+#: An instance that has not answered for this long is excluded.  The timeout
+#: tolerates a single lost answer.
+_SILENCE_TIMEOUT_MS = 600
+#: The same in exchange intervals, which applies when these are long.
+_SILENCE_TIMEOUT_INTERVALS = 2.4
+#: How long a list reported by an active instance is valid.  After that an
+#: instance makes its own choice.
+_REPORTED_TTL_MS = 3000
+#: An active instance must have confirmed its configuration this recently.
+_MAX_PROOF_AGE_MS = 3200
+#: Limits the excluded instances to retry, as a multiple of the active ones.
+_EXCLUDED_FACTOR = 2
 
 
 class ActiveInstances:
-    """The instances that callers are sent to, as one instance sees them.
+    """The active instances, as one instance sees them.
 
     Attributes:
       chosen: The active Members, best first.
     """
 
     def __init__(self, parts, own):
-        """Create the view of an instance that knows of nobody.
+        """Create a view without any known instance.
 
         Args:
           parts: A SharingParts.
@@ -54,17 +54,17 @@
         self._parts = parts
         self._own = own
         self._views = {}
-        self._wishers = {}
+        self._subscribers = {}
         self._ranking = Ranking(())
         self._ranked_version = None
         self._own_choice = frozenset()
-        self._told = ()
-        self._told_ms = float('-inf')
+        self._reported = ()
+        self._reported_ms = float('-inf')
         self.chosen = []
 
     @property
     def others(self):
-        """The active Members but this one, a list."""
+        """The active Members other than this instance, a list."""
         return [one for one in self.chosen if one.identity != self._own]
 
     @property
@@ -74,14 +74,14 @@
 
     @property
     def digest(self):
-        """A number that tells apart lists of active instances."""
+        """A hash that identifies the list of active instances."""
         return digest_members(self.chosen)
 
     def view(self, identity):
-        """Return the PeerView of an instance.
+        """Return the PeerView of an instance, created on first use.
 
         Args:
-          identity: Its id.
+          identity: The instance's id.
         """
         view = self._views.get(identity)
         if view is None:
@@ -90,53 +90,52 @@
         return view
 
     def choose(self):
-        """Choose the active instances anew."""
+        """Update the choice of active instances."""
         ranking = self._rank()
         count = count_active(len(ranking))
-        # Nobody is fresh while the store is away, and then those that answer
-        # are better than those that stop or are silent.
+        # During an outage of the store no instance is up to date; healthy ones
+        # are then preferred to those that are stopping or do not answer.
         own_choice = (
-            ranking.choose(count, self._is_fresh)
-            or ranking.choose(count, self._is_sound)
-            or ranking.choose(count, _accept)
+            ranking.choose(count, self._is_up_to_date)
+            or ranking.choose(count, self._is_healthy)
+            or ranking.choose(count, _accept_any)
         )
         self._own_choice = frozenset(one.identity for one in own_choice)
         self.chosen = own_choice
         if not self.is_own_active:
-            self.chosen = self._list_told() or own_choice
+            self.chosen = self._list_reported() or own_choice
 
     def record_active_list(self, briefing, *, is_answer):
-        """Take the active instances that another one named.
+        """Process the list of active instances that a peer reported.
 
-        Only the word of one that is active itself keeps a list in force:
-        others pass on what they were told, and would keep an old list alive
-        among them.  A home that is no longer active says whom to ask next.
+        Only a report from an active instance renews the list.  Other instances
+        pass on what they received, and would keep an outdated list alive among
+        themselves.  A home that is no longer active still provides the list
+        from which the next home is chosen.
 
         Args:
           briefing: A Briefing.
-          is_answer: Whether this instance had asked.
+          is_answer: Whether it answers a request of this instance.
         """
-        told = self._told
+        reported = self._reported
         if briefing.active:
             known = (self._parts.get(one.identity) for one in briefing.active)
-            told = [one for one in known if one is not None]
+            reported = [one for one in known if one is not None]
         elif briefing.digest == self.digest:
-            told = self.chosen
-        is_active = any(one.identity == briefing.instance for one in told)
-        if self._own in {one.identity for one in told}:
-            # Whoever is active by others' word only believes it from those
-            # that it would choose itself.  Three instances that had heard of
-            # each other first kept each other active for a whole day, and
-            # first events of short prompts came 3.66 times later than
-            # predicted (90th percentile), else 1.23.
+            reported = self.chosen
+        is_active = any(one.identity == briefing.instance for one in reported)
+        if self._own in {one.identity for one in reported}:
+            # An instance that is listed itself trusts only peers of its own
+            # choice.  Otherwise a few instances that learnt of each other
+            # first would confirm each other as active indefinitely.
             is_active = is_active and briefing.instance in self._own_choice
         if is_active or (is_answer and briefing.active):
-            self._told = tuple(told)
+            self._reported = tuple(reported)
         if is_active:
-            self._vouch_all()
+            self._vouch_for_reported()
 
     def record_subscription(self, briefing):
-        """Take what another instance wants to be told.
+        """Record whether a peer subscribes to this instance's work.
 
         Args:
           briefing: A Briefing.
@@ -145,19 +144,15 @@
         view = self.view(briefing.instance)
         view.feed.record_subscription(briefing, now_ms)
         if briefing.wants_work:
-            self._wishers[briefing.instance] = view
+            self._subscribers[briefing.instance] = view
 
     def find_home(self):
-        """Return the active Member that this one asks, or None.
-
-        One of its own data centre is asked where there is any, and as far as
-        possible each by the same number of instances.
-        """
+        """Return the active Member that this instance polls, or None."""
         own = self._parts.get(self._own)
         return None if own is None else choose_home(self.others, own)
 
     def record_no_response(self, member):
-        """Note that an instance did not answer this one, its follower.
+        """Record that an instance did not answer a poll of this one.
 
         Args:
           member: A Member.
@@ -165,67 +160,74 @@
         view = self.view(member.identity)
         view.last_received_ms = None
         view.last_vouched_ms = None
-        self._told = tuple(
-            one for one in self._told if one.identity != member.identity
+        self._reported = tuple(
+            one for one in self._reported if one.identity != member.identity
         )
 
     def pace_ms(self):
-        """Return how often each active instance is spoken to."""
-        return EXCHANGE_INTERVAL_MS * max(1, len(self.chosen) / _PACE_INSTANCES)
+        """Return the interval between messages to each active instance."""
+        return EXCHANGE_INTERVAL_MS * max(
+            1,
+            len(self.chosen) / _FULL_RATE_INSTANCES,
+        )
 
     def list_excluded(self):
-        """Return the first Members by rank that are left out for a fault.
+        """Return the best-ranked Members that are excluded for a fault.
 
-        They are lost, stop, or have no fresh proof, as far as was heard; they
-        are asked now and then, since nobody else says when that is over.
+        According to the last message they do not answer, are stopping, or are
+        out of date.  They must be polled, since no other instance reports
+        their recovery.
         """
-        left_out = filter(self._is_left_out, self._rank().members)
-        return list(islice(left_out, _LEFT_OUT_FACTOR * len(self.chosen)))
+        excluded = filter(self._is_excluded, self._rank().members)
+        return list(islice(excluded, _EXCLUDED_FACTOR * len(self.chosen)))
 
     def list_followers(self):
-        """Return the Members that are not active and want to be told."""
-        told = {self._own, *(one.identity for one in self.chosen)}
+        """Return the inactive Members that subscribe to work updates."""
+        others = {self._own, *(one.identity for one in self.chosen)}
         followers = []
-        for identity, view in tuple(self._wishers.items()):
+        for identity, view in tuple(self._subscribers.items()):
             member = self._parts.get(identity)
-            if not view.feed.has_subscriber(self._now_ms(), self._silent_ms()):
-                self._wishers.pop(identity)
-            elif identity not in told and member is not None:
+            if not view.feed.has_subscriber(
+                self._now_ms(),
+                self._silence_timeout_ms(),
+            ):
+                self._subscribers.pop(identity)
+            elif identity not in others and member is not None:
                 followers.append(member)
         return followers
 
     def _rank(self):
-        """Return the Ranking of all members; it changes only with them."""
+        """Return the Ranking of all members, rebuilt when they change."""
         version = self._parts.version()
         if version != self._ranked_version:
             self._ranked_version = version
             self._ranking = Ranking(self._parts.members())
         return self._ranking
 
-    def _vouch_all(self):
-        """Believe that those told of are active, on the word of a home.
+    def _vouch_for_reported(self):
+        """Treat the reported instances as serving, on a peer's word.
 
-        What one said of itself a moment ago counts more.
+        A recent message from an instance itself takes precedence.
         """
         now_ms = self._now_ms()
-        self._told_ms = now_ms
-        for member in self._told:
+        self._reported_ms = now_ms
+        for member in self._reported:
             view = self.view(member.identity)
             view.last_vouched_ms = now_ms
             if (
                 view.last_received_ms is None
-                or now_ms - view.last_received_ms > _TOLD_MS
+                or now_ms - view.last_received_ms > _REPORTED_TTL_MS
             ):
                 view.is_serving = True
 
-    def _list_told(self):
-        """Return the active Members that were told of, while that counts."""
-        if self._now_ms() - self._told_ms > _TOLD_MS:
+    def _list_reported(self):
+        """Return the reported active Members, if the report is still valid."""
+        if self._now_ms() - self._reported_ms > _REPORTED_TTL_MS:
             return []
-        return [one for one in self._told if self._is_named(one)]
+        return [one for one in self._reported if self._is_usable(one)]
 
-    def _is_named(self, member):
-        """Tell whether a member that was told of may be named to callers."""
+    def _is_usable(self, member):
+        """Tell whether clients may be sent to a reported member."""
         known = self._parts.get(member.identity)
         if known is None or known.draining:
             return False
@@ -236,10 +238,13 @@
     def _now_ms(self):
         return self._parts.timers.clock.now_ms()
 
-    def _silent_ms(self):
-        return max(_SILENT_MS, _SILENT_PACES * self.pace_ms())
+    def _silence_timeout_ms(self):
+        return max(
+            _SILENCE_TIMEOUT_MS,
+            _SILENCE_TIMEOUT_INTERVALS * self.pace_ms(),
+        )
 
-    def _is_sound(self, member):
+    def _is_healthy(self, member):
         if member.draining:
             return False
         if member.identity == self._own:
@@ -249,38 +254,38 @@
             return True
         return self._is_vouched(view) or view.is_healthy(
             self._now_ms(),
-            self._silent_ms(),
+            self._silence_timeout_ms(),
         )
 
-    def _is_left_out(self, member):
+    def _is_excluded(self, member):
         view = self._views.get(member.identity)
         if view is None or member.identity == self._own:
             return False
-        if not view.is_healthy(self._now_ms(), self._silent_ms()):
+        if not view.is_healthy(self._now_ms(), self._silence_timeout_ms()):
             return True
-        return not self._is_fresh(member)
+        return not self._is_up_to_date(member)
 
     def _is_vouched(self, view):
-        """Tell whether an instance is active by the word of others.
+        """Tell whether an active instance recently listed a peer as active.
 
-        An active instance goes by what it sees itself.
+        An active instance relies only on its own messages.
         """
         if self.is_own_active or view.last_vouched_ms is None:
             return False
         age_ms = self._now_ms() - view.last_vouched_ms
-        return view.is_serving and age_ms < _TOLD_MS
+        return view.is_serving and age_ms < _REPORTED_TTL_MS
 
-    def _is_fresh(self, member):
-        if not self._is_sound(member):
+    def _is_up_to_date(self, member):
+        if not self._is_healthy(member):
             return False
         if member.identity == self._own:
             age_ms = self._parts.proof_age_ms()
         else:
             view = self._views.get(member.identity)
             age_ms = None if view is None else view.proof_age_ms
-        return age_ms is None or age_ms <= _FRESH_PROOF_MS
+        return age_ms is None or age_ms <= _MAX_PROOF_AGE_MS
 
 
-def _accept(_member):
+def _accept_any(_member):
     """Accept any member."""
     return True
