--- a/bench/ablations.py
+++ b/bench/ablations.py
@@ -77,8 +77,8 @@
 _leave_out(
     'followers',
     f'{_CORE}/sharing.py',
-    '_MOST_FOLLOWERS = 9',
-    '_MOST_FOLLOWERS = 0',
+    '_MAX_FOLLOWERS = 9',
+    '_MAX_FOLLOWERS = 0',
 )
 _leave_out(
     'few active instances',
--- a/crankchute/core/sharing.py
+++ b/crankchute/core/sharing.py
@@ -1,57 +1,58 @@
-"""What instances tell each other so that each decides as if it were alone.
-
-Requests of all callers go to a few active instances.  Each of them tells the
-other active ones at once what it sent to which engine, what began and what
-ended.  Any other instance asks one of them, its home, twice a second, and is
-told which instances are active; so what an active one hears, and how soon a lost
-one is out of every answer, does not depend on how large the fleet is.  With every
-message goes what may not wait for the store: the version of the configuration, the
-revision of the list of backend servers, the ages of their proofs, which servers are
-known to leave, and which name a limit.
-
-All of it is a hint but for two things that are safe by themselves: a newer
-version, and a server that left, never become untrue.
-
-Whoever chooses engines, active or not, wants to be told of the others' work
-and is told all of it when it begins: without that an instance that starts, or
-is asked though not active, takes every engine for idle, and first events come
-several times later than predicted.
+"""Exchange of state between instances, so that all choose engines alike.
+
+Clients are sent to a few active instances.  Each of them reports to the other
+active ones at once which requests it sent to which engine, and when each of
+them started or ended.  Any other instance polls one active instance, its home,
+for the list of active ones.  The load of an active instance, and the time until
+clients are no longer sent to a failed one, therefore do not depend on the size
+of the fleet.
+
+Every message also carries what must not depend on the store: the configuration
+version, the revision of the backend server list, the ages of their
+confirmations, the draining servers, and the servers that announce a limit.
+
+The exchanged state is advisory, except for facts that never become untrue: a
+newer version, and a server that has left.
+
+An instance that chooses engines, active or not, subscribes to the work of the
+active ones and starts with a snapshot of it.  Otherwise an instance that has
+just started would take every engine for idle.
 """
 
 from crankchute.core.active_instances import (
-    HOME_POLL_INTERVAL_MS,
     EXCHANGE_INTERVAL_MS,
+    HOME_POLL_INTERVAL_MS,
     ActiveInstances,
 )
 from crankchute.core.briefing import WorkNews
 from crankchute.core.work_feed import apply_batch
 
-#: Work is told after this long, so that what happens together goes together.
+#: Changes are collected for this long and sent together.
 _FLUSH_MS = 3
-#: So many listeners are told at that pace.  Every change goes to every listener, and
-#: each message costs its two ends processor time, so with more listeners changes wait
-#: longer, by the square of their number.
-_FLUSH_LISTENERS = 3
+#: With more recipients than this the flush delay grows with the square of their
+#: number, since every change goes to every recipient and each message takes CPU
+#: time at both ends.
+_FULL_RATE_RECIPIENTS = 3
 _TIMEOUT_MS = 400
-#: An instance that chose an engine this lately wants to be told of others'
-#: work, in milliseconds; about as long as a usual answer is written.
-_INTEREST_MS = 2000
-#: How many instances that were left out are asked again at each turn.
-_MOST_LEFT_OUT = 3
-#: How many instances that are not active are told of work at most, so that
-#: the cost of an instance does not grow with the fleet.
-_MOST_FOLLOWERS = 9
+#: An inactive instance subscribes to work for this long after it chose an
+#: engine; about the duration of a typical response.
+_SUBSCRIPTION_MS = 2000
+#: The maximum number of excluded instances that are retried per interval.
+_MAX_EXCLUDED_RETRIES = 3
+#: The maximum number of inactive instances that work is sent to, so that the
+#: load of an instance does not grow with the fleet.
+_MAX_FOLLOWERS = 9
 
 
 class Sharing:
-    """One instance's part in the sharing of knowledge.
+    """The exchange of state between one instance and its peers.
 
     Attributes:
       instances: The ActiveInstances.
     """
 
     def __init__(self, parts, own):
-        """Create the sharing; start() begins it.
+        """Create the exchange; start() begins it.
 
         Args:
           parts: A SharingParts.
@@ -61,19 +62,19 @@
         self._own = own
         self.instances = ActiveInstances(parts, own)
         self._outbox = []
-        self._flush = None
-        self._chose_ms = float('-inf')
+        self._flush_timer = None
+        self._last_choice_ms = float('-inf')
 
     @property
     def active(self):
-        """The Members that callers are sent to, best first."""
+        """The active Members, best first."""
         return self.instances.chosen
 
     @property
     def home(self):
-        """The id of the active instance that this one asks, or None.
+        """The id of the active instance that this one polls, or None.
 
-        An active instance has none: it speaks to all the others.
+        An active instance has no home: it exchanges messages with all others.
         """
         found = None
         if not self.instances.is_own_active:
@@ -81,43 +82,46 @@
         return None if found is None else found.identity
 
     def start(self):
-        """Begin to speak to the active instances."""
-        self._parts.timers.every(EXCHANGE_INTERVAL_MS, self._on_pace)
+        """Start exchanging messages with the active instances."""
+        self._parts.timers.every(EXCHANGE_INTERVAL_MS, self._on_interval)
         self._parts.crashes.subscribe(self.tell_soon)
 
     def note(self, change, work):
-        """Tell the other active instances of work of this one.
+        """Queue a change of this instance's work for the peers.
 
         Args:
           change: A Change.
           work: A Work.
         """
-        self._chose_ms = self._now_ms()
+        self._last_choice_ms = self._now_ms()
         self._outbox.append(WorkNews(change, work))
         self.tell_soon()
 
     def tell_soon(self):
-        """Tell the listeners what changes within the next milliseconds."""
-        if self._flush is None:
-            crowd = max(len(self._listeners()) / _FLUSH_LISTENERS, 1)
-            self._flush = self._parts.timers.after(
-                _FLUSH_MS * crowd * crowd,
+        """Schedule a message to all recipients after the flush delay."""
+        if self._flush_timer is None:
+            crowding = max(
+                len(self._recipients()) / _FULL_RATE_RECIPIENTS,
+                1,
+            )
+            self._flush_timer = self._parts.timers.after(
+                _FLUSH_MS * crowding * crowding,
                 self._on_flush,
             )
 
     def tell_now(self):
-        """Tell every active instance what this one knows, at once."""
+        """Send this instance's state to all recipients immediately."""
         self.instances.choose()
-        for member in self._listeners():
-            self._speak(member, [])
+        for member in self._recipients():
+            self._send(member, [])
 
     def hear(self, briefing, asked_ms=None):
-        """Take what another instance told.
+        """Process a message from another instance.
 
         Args:
           briefing: A Briefing.
-          asked_ms: When it was asked for, or None if it came unasked: then
-            nobody knows how long it was on its way.
+          asked_ms: When it was requested, or None if it was not: then its
+            transit time is unknown.
         """
         now_ms = self._now_ms()
         view = self.instances.view(briefing.instance)
@@ -136,7 +140,7 @@
         self.instances.record_active_list(briefing, is_answer=is_answer)
 
     def answer(self, briefing):
-        """Take what another instance told, and return what it is told.
+        """Process a message from another instance, and return the answer.
 
         Args:
           briefing: A Briefing.
@@ -148,7 +152,10 @@
         return self._make_briefing(self.instances.view(briefing.instance), [])
 
     def heard_ms_ago(self):
-        """Return how long ago the active ones were heard from, or None."""
+        """Return the age of the oldest last message of an active peer.
+
+        Peers without any message are ignored; None if there is no other.
+        """
         views = [
             self.instances.view(one.identity) for one in self.instances.others
         ]
@@ -160,22 +167,22 @@
         return self._now_ms() - min(known) if known else None
 
     def is_among_first(self, count=None):
-        """Tell whether this instance is one of the first active ones.
+        """Tell whether this instance is one of the best-ranked active ones.
 
         Args:
-          count: How many of them, or None for all.
+          count: How many to consider, or None for all.
         Returns:
-          A bool, true also while no instance is known to be active.
+          A bool, also true while no active instance is known.
         """
         first = [one.identity for one in self.active[:count]]
         return self._own in first or not first
 
     def choose_addresses(self, data_centre):
-        """Return the members that a caller should use.
+        """Return the members that a client should use.
 
         Args:
-          data_centre: Where the caller is; not used to choose, since one
-            hop costs less than knowing less.
+          data_centre: The client's data centre, which is ignored: an extra
+            network hop costs less than an instance with a partial view.
         Returns:
           A list of Member.
         """
@@ -188,73 +195,73 @@
     def _wants_work(self):
         if self.instances.is_own_active:
             return True
-        return self._now_ms() - self._chose_ms < _INTEREST_MS
+        return self._now_ms() - self._last_choice_ms < _SUBSCRIPTION_MS
 
-    def _listeners(self):
-        """Return the other active instances, and those that want news."""
+    def _recipients(self):
+        """Return the other active instances and the admitted followers."""
         followers = self.instances.list_followers()
-        return [*self.instances.others, *followers[:_MOST_FOLLOWERS]]
+        return [*self.instances.others, *followers[:_MAX_FOLLOWERS]]
 
-    def _on_pace(self):
+    def _on_interval(self):
         self.instances.choose()
         if self._wants_work():
-            self._ask_all(self.instances.pace_ms())
+            self._poll_all(self.instances.pace_ms())
             return
         home = self.instances.find_home()
         if home is not None:
-            self._ask_all(HOME_POLL_INTERVAL_MS, (home,))
+            self._poll_all(HOME_POLL_INTERVAL_MS, (home,))
 
-    def _ask_all(self, pace_ms, members=None):
-        """Speak to members that were not spoken to for a turn of a pace."""
+    def _poll_all(self, interval_ms, members=None):
+        """Send to members that were not sent to during the last interval."""
         now_ms = self._now_ms()
-        for member in members or self._to_ask():
-            asked_ms = self.instances.view(member.identity).last_sent_ms
-            if asked_ms is None or now_ms >= asked_ms + pace_ms - _FLUSH_MS:
-                self._speak(member, [])
+        for member in members or self._poll_targets():
+            sent_ms = self.instances.view(member.identity).last_sent_ms
+            if sent_ms is None or now_ms >= sent_ms + interval_ms - _FLUSH_MS:
+                self._send(member, [])
 
-    def _ask_next_home(self):
-        """Ask another active instance, since the home is silent."""
+    def _poll_next_home(self):
+        """Poll another active instance after the home did not answer."""
         self.instances.choose()
         home = self.instances.find_home()
         if home is not None and not self._wants_work():
-            self._ask_all(0, (home,))
+            self._poll_all(0, (home,))
 
-    def _to_ask(self):
-        """Return the active instances, and a few that are left out."""
-        left_out = self.instances.list_excluded()
-        count = min(len(left_out), _MOST_LEFT_OUT)
-        asked_again = self._parts.random.sample(left_out, count)
-        return [*self.instances.others, *asked_again]
+    def _poll_targets(self):
+        """Return the other active instances and a few excluded ones."""
+        excluded = self.instances.list_excluded()
+        count = min(len(excluded), _MAX_EXCLUDED_RETRIES)
+        retried = self._parts.random.sample(excluded, count)
+        return [*self.instances.others, *retried]
 
     def _on_flush(self):
-        self._flush = None
+        self._flush_timer = None
         news = self._outbox
         self._outbox = []
-        for member in self._listeners():
-            self._speak(member, news)
+        for member in self._recipients():
+            self._send(member, news)
 
-    def _speak(self, member, news):
+    def _send(self, member, news):
         view = self.instances.view(member.identity)
         now_ms = self._now_ms()
         if view.last_sent_ms is None:
-            # Until the first answer had time to come it counts as sound.
+            # A new peer counts as healthy until its first answer is due.
             view.last_received_ms = now_ms
         view.last_sent_ms = now_ms
         briefing = self._make_briefing(view, news)
 
-        def take(reply):
+        def on_reply(reply):
             if reply is not None:
                 self.hear(reply, now_ms)
             elif not self._wants_work():
                 self.instances.record_no_response(member)
-                self._ask_next_home()
+                self._poll_next_home()
 
-        self._parts.send(member, briefing, take, _TIMEOUT_MS)
+        self._parts.send(member, briefing, on_reply, _TIMEOUT_MS)
 
     def _make_briefing(self, view, news):
         digest = self.instances.digest
         crashes = self._parts.crashes
-        must_tell = view.claim_crash_report(crashes.digest, self._now_ms())
+        must_report = view.claim_crash_report(crashes.digest, self._now_ms())
         return self._parts.make_briefing(
             active=() if view.active_digest == digest else self.active,
             digest=digest,
@@ -262,7 +269,7 @@
             lacks_work=view.feed.is_incomplete(self._now_ms()),
             batch=view.feed.make_batch(news, self._own_works),
             crash_digest=crashes.digest,
-            crashes=crashes.tell() if must_tell else None,
+            crashes=crashes.tell() if must_report else None,
         )
 
     def _own_works(self):
@@ -270,26 +277,26 @@
 
 
 class SharingParts:
-    """What sharing works with.
+    """The dependencies of Sharing.
 
     Attributes:
       timers: A TimerService.
       random: A random.Random.
       members: A function that returns the Members not believed dead.
-      get: A function of an id that returns the Member, or None.
-      version: A function that returns a number that changes whenever any of
-        the members does.
-      is_serving: A function that returns whether this instance serves.
-      proof_age_ms: A function that returns the age of the proof of this
-        instance's configuration in milliseconds, or None.
+      get: A function that returns the Member with an id, or None.
+      version: A function that returns a number that changes whenever a member
+        does.
+      is_serving: A function that returns whether this instance serves clients.
+      proof_age_ms: A function that returns how many milliseconds ago this
+        instance's configuration was confirmed to be the newest, or None.
       board: The EngineBoard.
       crashes: The CrashLedger.
-      make_briefing: A function of what Sharing tells, by the names of the
-        Briefing's attributes, that returns a Briefing.
-      take: A function of a Briefing that was heard, and of the moment it was
-        asked for, or None.
-      send: A function of a Member, a Briefing, a function of the reply or
-        None, and a time-out in milliseconds.
+      make_briefing: A function that returns a Briefing.  Its keyword arguments
+        are the Briefing's attributes that Sharing provides.
+      take: A function that processes a received Briefing.  Its second argument
+        is the time at which the Briefing was requested, or None.
+      send: A function of a Member, a Briefing, a callback that gets the reply
+        or None, and a timeout in milliseconds.
     """
 
     __slots__ = (
@@ -308,7 +315,7 @@
     )
 
     def __init__(self, **fields):
-        """Gather the parts.
+        """Set every attribute.
 
         Args:
           fields: A value for each attribute.
