--- a/crankchute/core/membership.py
+++ b/crankchute/core/membership.py
@@ -1,27 +1,30 @@
-"""Who the entry instances are, by gossip of constant cost per node.
+"""SWIM-style membership of the instances, with constant cost per node.
 
-Each node probes one other per round; a probe without an answer is repeated
-through a few others, and only then the node is suspected.  What changed is
-carried on probes and answers a bounded number of times.  A node refutes its
-own suspicion by raising its incarnation.
+Each node probes one other node per round.  If the probe is not answered, a few
+other nodes repeat it, and only if they fail too the node becomes suspect.
+Updates are piggybacked on probes and answers a bounded number of times.  A node
+refutes a suspicion of itself by raising its incarnation.
 
-Membership decides only efficiency: who is asked first, who owns an engine,
-who reads the platform.  No promise rests on it.
+Membership affects efficiency only: which instance is asked first, which one
+owns an engine, and which ones read the platform.  No guarantee depends on it.
 """
 
 import enum
 import math
 
-_SPREAD_FACTOR = 3
-_MOST_UPDATES = 12
-_INDIRECT = 3
-_SUSPECT_MS = 3000
-_FORGET_MS = 60_000
-_REVIVE_ROUNDS = 4
+#: Each update is sent this many times the logarithm of the number of nodes.
+_RETRANSMIT_FACTOR = 3
+_MAX_UPDATES = 12
+_INDIRECT_PROBES = 3
+_SUSPICION_TIMEOUT_MS = 3000
+#: How long after the suspicion a dead member's record is removed.
+_DEAD_RETENTION_MS = 60_000
+#: How often, in rounds, a lost seed is probed.
+_SEED_PROBE_ROUNDS = 4
 
 
 class Status(enum.IntEnum):
-    """What is believed of a member; a higher one wins at one incarnation."""
+    """A member's status; within an incarnation the higher one wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -29,21 +32,21 @@
 
 
 class Member:
-    """What a node says of itself, and what others believe of it.
+    """The record of a node, as published by itself and updated by others.
 
     Attributes:
       identity: The instance's id.
       boot: The random id of its process.
-      incarnation: Rises when the node refutes or changes what it says.
+      incarnation: A version number that the node raises when it refutes a
+        suspicion or changes its record.
       peer_address: "IP:port" for the other instances.
-      http_address: "IP:port" for callers.
+      http_address: "IP:port" for clients.
       data_centre: Where it runs.
-      draining: Whether it takes no new callers, a bool.
-      reads_platform: Whether it reaches the platform, a bool.
+      draining: Whether it accepts no new clients, a bool.
+      reads_platform: Whether it can reach the platform, a bool.
       status: A Status.
-      in_force: The revision of its configuration, as last heard.
-      strength: The processor that it has, in thousandths of a core, or 0
-        where that is not known.
+      in_force: The last known revision of its configuration.
+      strength: Its CPU capacity in thousandths of a core, or 0 if unknown.
     """
 
     __slots__ = (
@@ -67,7 +70,7 @@
           identity: The instance's id.
           boot: The random id of its process.
           incarnation: An int.
-          fields: The other attributes that differ from their defaults.
+          fields: Other attributes whose values differ from the defaults.
         """
         self.identity = identity
         self.boot = boot
@@ -85,55 +88,55 @@
         """Return a copy with some attributes changed.
 
         Args:
-          changes: Attributes and their new values.
+          changes: New values by attribute name.
         """
-        twin = Member(self.identity, self.boot, self.incarnation)
+        duplicate = Member(self.identity, self.boot, self.incarnation)
         for name in self.__slots__:
-            setattr(twin, name, changes.get(name, getattr(self, name)))
-        return twin
+            setattr(duplicate, name, changes.get(name, getattr(self, name)))
+        return duplicate
 
     def overrides(self, other):
-        """Tell whether this is newer knowledge than another record.
+        """Tell whether this record supersedes another one.
 
         Args:
           other: A Member with the same id.
         """
-        mine = (self.incarnation, self.status)
-        return mine > (other.incarnation, other.status)
+        own_order = (self.incarnation, self.status)
+        return own_order > (other.incarnation, other.status)
 
 
-class _Rumour:
-    """A member record that is still being passed on."""
+class _PendingUpdate:
+    """A member's record that is still being sent to peers."""
 
-    __slots__ = ('identity', 'left')
+    __slots__ = ('identity', 'sends_left')
 
-    def __init__(self, identity, left):
+    def __init__(self, identity, sends_left):
         self.identity = identity
-        self.left = left
+        self.sends_left = sends_left
 
 
 class Membership:
-    """The members that one node knows, itself among them.
+    """The members known to one node, including itself.
 
     Attributes:
-      version: Rises with each change of the members.
+      version: A counter that increases with every change of the members.
     """
 
     def __init__(self, own, ports):
         """Create a node that knows only itself.
 
         Args:
-          own: The Member that this node is.
+          own: This node's Member.
           ports: A MembershipPorts.
         """
         self._own = own
         self._ports = ports
         self._members = {own.identity: own}
-        self._rumours = {}
-        self._suspected_ms = {}
-        self._round = []
-        self._rounds = 0
-        self._listed = {}
+        self._updates = {}
+        self._suspected_since_ms = {}
+        self._targets = []
+        self._round_count = 0
+        self._seeds = {}
         self._listeners = []
         self._alive = []
         self._alive_version = None
@@ -141,11 +144,11 @@
 
     @property
     def own(self):
-        """This node's own record."""
+        """This node's own Member."""
         return self._own
 
     def __len__(self):
-        """Return how many members are known, dead ones included."""
+        """Return the number of known members, including dead ones."""
         return len(self._members)
 
     def get(self, identity):
@@ -153,9 +156,9 @@
         return self._members.get(identity)
 
     def believed_alive(self):
-        """Return the members not believed dead, this node included.
+        """Return the members not known to be dead, including this node.
 
-        The list is made anew only after a change, and is not to be changed.
+        The list is cached between changes; the caller must not modify it.
         """
         if self._alive_version != self.version:
             self._alive_version = self.version
@@ -167,42 +170,42 @@
         return self._alive
 
     def all_members(self):
-        """Return every known member."""
+        """Return all known members, including dead ones."""
         return list(self._members.values())
 
     def subscribe(self, listener):
-        """Be told when a member's record changes.
+        """Register a listener for changes of member records.
 
         Args:
-          listener: A function of a Member.
+          listener: A callback that gets the changed Member.
         """
         self._listeners.append(listener)
 
     def announce(self, **changes):
-        """Change what this node says of itself.
+        """Publish changes of this node's own record.
 
         Args:
-          changes: Attributes of Member and their new values.
+          changes: New values by attribute name of Member.
         """
         incarnation = self._own.incarnation + 1
         self._own = self._own.copy(incarnation=incarnation, **changes)
-        self._store(self._own)
+        self._set_record(self._own)
 
     def seed(self, members):
-        """Take the list of members, and add those nobody told of yet.
+        """Replace the seeds, and add those that are not known yet.
 
         Args:
           members: Member records with incarnation 0.
         """
-        self._listed = {member.identity: member for member in members}
-        self._listed.pop(self._own.identity, None)
+        self._seeds = {member.identity: member for member in members}
+        self._seeds.pop(self._own.identity, None)
         self.version += 1
-        for member in self._listed.values():
+        for member in self._seeds.values():
             if member.identity not in self._members:
                 self._members[member.identity] = member
 
     def merge(self, updates):
-        """Take records that a peer passed on.
+        """Merge the records received from a peer.
 
         Args:
           updates: An iterable of Member.
@@ -214,41 +217,41 @@
                 self._merge_one(update)
 
     def collect_updates(self):
-        """Return the records to pass on with the next message.
+        """Return the records to send with the next message.
 
         Returns:
-          A list of Member: this node and a bounded number of rumours, those
-          passed on least first.
+          A list of Member: this node, then a bounded number of updates with
+          the most sends left first.
         """
-        rumours = sorted(self._rumours.values(), key=_turns_left, reverse=True)
-        chosen = rumours[:_MOST_UPDATES]
-        records = [self._members[rumour.identity] for rumour in chosen]
-        for passed_on in chosen:
-            passed_on.left -= 1
-            if passed_on.left <= 0:
-                self._rumours.pop(passed_on.identity)
+        updates = sorted(self._updates.values(), key=_sends_left, reverse=True)
+        chosen = updates[:_MAX_UPDATES]
+        records = [self._members[update.identity] for update in chosen]
+        for sent in chosen:
+            sent.sends_left -= 1
+            if sent.sends_left <= 0:
+                self._updates.pop(sent.identity)
         others = [one for one in records if one.identity != self._own.identity]
         return [self._own, *others]
 
     def run_round(self):
-        """Probe one member and let suspicions grow into deaths.
+        """Probe one member, and expire suspect and dead members.
 
-        Now and then a listed member that is believed lost is probed too, so
-        that two sides of a cut find each other again when it heals.
+        Every few rounds a lost seed is probed too, so that the two sides of a
+        network partition find each other again when it heals.
         """
-        self._bury_suspects()
-        self._rounds += 1
+        self._expire_members()
+        self._round_count += 1
         target = self._next_target()
         if target is not None:
             self._ports.probe(target, lambda ok: self._on_probe(target, ok))
-        if self._rounds % _REVIVE_ROUNDS == 0:
-            self._probe_lost()
+        if self._round_count % _SEED_PROBE_ROUNDS == 0:
+            self._probe_lost_seed()
 
     def choose_peers(self, count):
-        """Return some random members other than this node.
+        """Return random members other than this node.
 
         Args:
-          count: How many at most.
+          count: The maximum number of members.
         """
         others = [
             member
@@ -263,20 +266,20 @@
             return
         helpers = [
             peer
-            for peer in self.choose_peers(_INDIRECT + 1)
+            for peer in self.choose_peers(_INDIRECT_PROBES + 1)
             if peer.identity != target.identity
-        ][:_INDIRECT]
+        ][:_INDIRECT_PROBES]
         if not helpers:
             self._suspect(target)
             return
-        poll = _IndirectPoll(len(helpers), lambda: self._suspect(target))
+        probe = _IndirectProbe(len(helpers), lambda: self._suspect(target))
         for helper in helpers:
-            self._ports.probe_through(helper, target, poll.note)
+            self._ports.probe_through(helper, target, probe.on_result)
 
-    def _probe_lost(self):
+    def _probe_lost_seed(self):
         lost = [
             member
-            for identity, member in self._listed.items()
+            for identity, member in self._seeds.items()
             if self._is_lost(identity)
         ]
         if lost:
@@ -288,38 +291,38 @@
         return known is None or known.status == Status.DEAD
 
     def _next_target(self):
-        while self._round:
-            identity = self._round.pop()
+        while self._targets:
+            identity = self._targets.pop()
             member = self._members.get(identity)
             if member is not None and member.status != Status.DEAD:
                 return member
-        self._round = [
+        self._targets = [
             member.identity
             for member in self.believed_alive()
             if member.identity != self._own.identity
         ]
-        self._ports.random.shuffle(self._round)
-        return self._members[self._round.pop()] if self._round else None
+        self._ports.random.shuffle(self._targets)
+        return self._members[self._targets.pop()] if self._targets else None
 
     def _refute(self, update):
         own = self._own
         if update.incarnation < own.incarnation:
             return
-        is_mine = update.boot == own.boot
-        if is_mine and update.status == Status.ALIVE:
+        is_same_boot = update.boot == own.boot
+        if is_same_boot and update.status == Status.ALIVE:
             return
         self._own = own.copy(incarnation=update.incarnation + 1)
-        self._store(self._own)
+        self._set_record(self._own)
 
     def _merge_one(self, update):
         known = self._members.get(update.identity)
         if known is None and update.status == Status.DEAD:
             return
         if known is None or update.overrides(known):
-            self._store(update)
+            self._set_record(update)
         elif known.status != Status.ALIVE:
-            # Whoever speaks up while it is believed lost must hear of it.
-            self._spread(update.identity)
+            # The member must learn that it is suspected in order to refute it.
+            self._enqueue_update(update.identity)
         elif update.boot == known.boot:
             known.in_force = max(known.in_force, update.in_force)
 
@@ -328,60 +331,63 @@
         if known is None or known.boot != target.boot:
             return
         if known.status == Status.ALIVE:
-            self._store(known.copy(status=Status.SUSPECT))
+            self._set_record(known.copy(status=Status.SUSPECT))
 
-    def _spread(self, identity):
+    def _enqueue_update(self, identity):
         size = len(self._members) + 1
-        turns = _SPREAD_FACTOR * math.ceil(math.log2(size))
-        self._rumours[identity] = _Rumour(identity, turns)
+        sends = _RETRANSMIT_FACTOR * math.ceil(math.log2(size))
+        self._updates[identity] = _PendingUpdate(identity, sends)
 
-    def _bury_suspects(self):
+    def _expire_members(self):
         now_ms = self._ports.now_ms()
-        for identity, since_ms in tuple(self._suspected_ms.items()):
+        for identity, since_ms in tuple(self._suspected_since_ms.items()):
             member = self._members[identity]
             age_ms = now_ms - since_ms
-            if member.status == Status.DEAD and age_ms > _FORGET_MS:
-                self._suspected_ms.pop(identity)
+            if member.status == Status.DEAD and age_ms > _DEAD_RETENTION_MS:
+                self._suspected_since_ms.pop(identity)
                 self._members.pop(identity)
-                self._rumours.pop(identity, None)
+                self._updates.pop(identity, None)
                 self.version += 1
-            elif member.status == Status.SUSPECT and age_ms > _SUSPECT_MS:
-                self._store(member.copy(status=Status.DEAD))
+            elif (
+                member.status == Status.SUSPECT
+                and age_ms > _SUSPICION_TIMEOUT_MS
+            ):
+                self._set_record(member.copy(status=Status.DEAD))
 
-    def _store(self, member):
+    def _set_record(self, member):
         identity = member.identity
         self._members[identity] = member
-        self._spread(identity)
+        self._enqueue_update(identity)
         if member.status == Status.ALIVE:
-            self._suspected_ms.pop(identity, None)
+            self._suspected_since_ms.pop(identity, None)
         else:
             now_ms = self._ports.now_ms()
-            self._suspected_ms.setdefault(identity, now_ms)
+            self._suspected_since_ms.setdefault(identity, now_ms)
         self.version += 1
         for listener in self._listeners:
             listener(member)
 
 
-class _IndirectPoll:
-    """Counts the answers of helpers; acts when none reached the target."""
+class _IndirectProbe:
+    """Collects the helpers' results; reports if none reached the target."""
 
-    __slots__ = ('_left', '_on_lost')
+    __slots__ = ('_awaited', '_on_failure')
 
-    def __init__(self, count, on_lost):
-        self._left = count
-        self._on_lost = on_lost
+    def __init__(self, count, on_failure):
+        self._awaited = count
+        self._on_failure = on_failure
 
-    def note(self, reached):
+    def on_result(self, reached):
         if reached:
-            self._on_lost = None
-        self._left -= 1
-        if self._left == 0 and self._on_lost is not None:
-            self._on_lost()
+            self._on_failure = None
+        self._awaited -= 1
+        if self._awaited == 0 and self._on_failure is not None:
+            self._on_failure()
 
 
 def _ignore(_answered):
-    """Take the end of a probe that only looks for a lost member."""
+    """Ignore the result: an answer from the member updates its record."""
 
 
-def _turns_left(rumour):
-    return rumour.left
+def _sends_left(update):
+    return update.sends_left
