--- a/crankchute/core/addresses.py
+++ b/crankchute/core/addresses.py
@@ -1,29 +1,29 @@
-"""Which entry instances a client account uses, and who does shared work.
+"""Assignment of client accounts, backends and store reads to instances.
 
-Nothing is agreed: every instance ranks the members that it knows by the same
-hash.  Two instances with different views give different answers for a while,
-which costs efficiency only.
+Assignment uses rendezvous hashing over the known members, without
+coordination.  Instances with different views assign differently for a while,
+which affects efficiency only.
 """
 
 from crankchute.core.hashing import rank_by_hash
 from crankchute.core.membership import Status
 
-_READERS = 2
+_READERS_PER_DATA_CENTRE = 2
 _READER_KEY = 'reader'
 
 
 def choose_addresses(members, account, width, data_centre):
-    """Return the instances that an account should use.
+    """Return the instances that a client account should use.
 
     Args:
       members: The known Members.
       account: The account's name.
-      width: How many instances the account is shared among.
-      data_centre: The caller's, or that of the instance that answers.
+      width: The number of instances that share the account.
+      data_centre: The client's, or that of the instance that answers.
     Returns:
-      A list of at most `width` Members: those of the data centre first.
+      A list of at most `width` Members, those in the data centre first.
     """
-    by_id = {one.identity: one for one in members if _takes_callers(one)}
+    by_id = {one.identity: one for one in members if _accepts_clients(one)}
     chosen = rank_by_hash(account, by_id)[:width]
     chosen_members = [by_id[identity] for identity in chosen]
     return sorted(
@@ -33,12 +33,12 @@
 
 
 def list_sharers(members, account, width):
-    """Return the instances that share an account's limits.
+    """Return the instances that share the limits of a client account.
 
     Args:
       members: The known Members.
       account: The account's name.
-      width: How many instances share the limits.
+      width: The number of instances that share the limits.
     Returns:
       A list of at most `width` Members.
     """
@@ -46,11 +46,11 @@
 
 
 def is_reader(members, own):
-    """Tell whether a node is among the platform's readers of its place.
+    """Tell whether an instance reads the platform for its data centre.
 
     Args:
       members: The known Members.
-      own: The node's Member.
+      own: The instance's Member.
     Returns:
       A bool.
     """
@@ -62,7 +62,7 @@
         and member.data_centre == own.data_centre
     ]
     key = f'{_READER_KEY}/{own.data_centre}'
-    return own.identity in rank_by_hash(key, local)[:_READERS]
+    return own.identity in rank_by_hash(key, local)[:_READERS_PER_DATA_CENTRE]
 
 
 def choose_owner(members, backend_id, data_centre):
@@ -73,7 +73,8 @@
       backend_id: The backend's id.
       data_centre: Where the backend runs.
     Returns:
-      An instance's id; one of the same data centre if there is any alive.
+      An instance's id, in the same data centre if possible; None if no
+      instance is alive.
     """
     alive = [
         member
@@ -81,10 +82,10 @@
         if member.status == Status.ALIVE and not member.draining
     ]
     local = [one for one in alive if one.data_centre == data_centre]
-    names = [member.identity for member in local or alive]
-    ranked = rank_by_hash(backend_id, names)
+    identities = [member.identity for member in local or alive]
+    ranked = rank_by_hash(backend_id, identities)
     return ranked[0] if ranked else None
 
 
-def _takes_callers(member):
+def _accepts_clients(member):
     return member.status != Status.DEAD and not member.draining
