--- a/crankchute/core/briefing.py
+++ b/crankchute/core/briefing.py
@@ -1,13 +1,13 @@
-"""What one instance tells another, as data."""
+"""Data classes for the messages between instances."""
 
 
 class WorkNews:
-    """A change of a Work, as instances tell it."""
+    """A state change of a Work."""
 
     __slots__ = ('change', 'work')
 
     def __init__(self, change, work):
-        """Create the news.
+        """Create the record of a change.
 
         Args:
           change: A Change.
@@ -18,13 +18,13 @@
 
 
 class WorkBatch:
-    """News of an instance's own work for one other instance.
+    """Changes of an instance's own work, addressed to one peer.
 
     Attributes:
-      number: Counts the batches told to that instance from 1; a batch
-        without news repeats the number of the last one.
-      is_whole: Whether the news are all work that the teller has, and
-        replace what was told before, a bool.
+      number: A sequence number per peer, from 1; a batch without changes
+        repeats the number of the previous one.
+      is_whole: Whether this is a snapshot of all work of the sender, which
+        replaces what was sent before, a bool.
       news: A list of WorkNews.
     """
 
@@ -44,17 +44,17 @@
 
 
 class Impression:
-    """What an instance thinks of a backend server by its own requests.
+    """The health of a backend server, from one instance's own requests.
 
     Attributes:
       server: The server's id.
-      signs: The Signs of its own requests.
+      signs: The Signs of those requests.
     """
 
     __slots__ = ('server', 'signs')
 
     def __init__(self, server, signs):
-        """Create the impression.
+        """Create the record of a server.
 
         Args:
           server: A string.
@@ -65,29 +65,34 @@
 
 
 class Briefing:
-    """What one instance tells another.
+    """The state that an instance sends to a peer.
 
     Attributes:
-      instance: The id of the teller.
-      boot: The random id of its process.
-      is_serving: Whether it may be handed out to callers.
-      version: The version of its configuration, an int.
-      proof_age_ms: How long ago that was proved the newest, or None.
-      servers_revision: The revision of its list of backend servers, an int.
-      servers_age_ms: How long ago that was proved the newest, or None.
-      active: The Members it takes for active, or none where the other one
-        named the same.
-      digest: A number that tells apart lists of active instances.
-      drained: Ids of backend servers that drain.
-      gone: Ids of backend servers whose entries went lately.
-      impressions: A list of Impression, of servers that seem unsound.
-      limits: LimitWords, of servers that named limits lately, or ended them.
-      wants_work: Whether it wants to be told of the other's work, a bool.
-      lacks_work: Whether it missed some of that, a bool.
+      instance: The sender's id.
+      boot: The random id of the sender's process.
+      is_serving: Whether clients may be sent to the sender.
+      version: The version of the sender's configuration, an int.
+      proof_age_ms: How long ago that version was confirmed to be the newest,
+        or None.
+      servers_revision: The revision of the sender's backend server list, an
+        int.
+      servers_age_ms: How long ago that revision was confirmed to be the
+        newest, or None.
+      active: The Members that the sender considers active; empty if the
+        receiver last reported the same digest.
+      digest: A hash that identifies the sender's list of active instances.
+      drained: Ids of backend servers that are draining.
+      gone: Ids of backend servers whose entries were recently deleted.
+      impressions: A list of Impression, for servers that seem unhealthy.
+      limits: LimitWords, for servers that recently announced or withdrew a
+        limit.
+      wants_work: Whether the sender subscribes to the receiver's work, a bool.
+      lacks_work: Whether the sender needs a snapshot of it, a bool.
       batch: A WorkBatch.
-      crash_digest: A number that tells apart what instances remember of
-        crashes.
-      crashes: CrashNews, or None where the other one remembers the same.
+      crash_digest: A hash that identifies the crashes that the sender
+        remembers.
+      crashes: CrashNews, or None if the receiver last reported the same
+        digest.
     """
 
     __slots__ = (
@@ -112,7 +117,7 @@
     )
 
     def __init__(self, **fields):
-        """Create the briefing.
+        """Create the message.
 
         Args:
           fields: A value for each attribute.
