--- a/crankchute/core/replica.py
+++ b/crankchute/core/replica.py
@@ -1,15 +1,15 @@
-"""A copy of what the platform publishes, whose revision only rises.
+"""A replica of a published store; its revision only increases.
 
-Instances pass changed entries on to one another.  A change set says which
-revision it starts from; one that starts later than the copy's revision would
-leave a gap and is not taken.
+Instances pass changed entries on to each other.  A change set states the
+revision that it starts from.  One that starts after the replica's revision
+would leave a gap and is rejected.
 """
 
 from crankchute.errors import StaleRevisionError
 
 
 class Entry:
-    """One published value; a value of None says that it was deleted."""
+    """The published value of a key; a payload of None marks a deletion."""
 
     __slots__ = ('may_lapse', 'payload', 'revision')
 
@@ -17,10 +17,10 @@
         """Create an entry.
 
         Args:
-          revision: The platform's revision that brought it, an int.
+          revision: The platform's revision at which the entry last changed.
           payload: Bytes, or None if the key was deleted.
-          may_lapse: Whether it was deleted around trouble of the platform,
-            and perhaps only lapsed.
+          may_lapse: Whether the entry may have expired rather than been deleted
+            on purpose, because the platform was faulty at the time.
         """
         self.revision = revision
         self.payload = payload
@@ -28,7 +28,7 @@
 
 
 class ChangeSet:
-    """The entries that changed after one revision, up to another."""
+    """The entries that changed between two revisions."""
 
     __slots__ = ('entries', 'revision', 'since')
 
@@ -36,7 +36,8 @@
         """Create a change set.
 
         Args:
-          since: The revision after which changes are listed; 0 for all.
+          since: The revision after which changes are included; 0 for a full
+            snapshot.
           revision: The revision that the changes lead to.
           entries: A map from key to Entry.
         """
@@ -46,16 +47,16 @@
 
 
 class Replica:
-    """The copy that one process holds.
+    """One process's replica of a published store.
 
     Attributes:
-      revision: The revision in force, an int; 0 before the first.
+      revision: The current revision, an int; 0 before the first change set.
     """
 
     __slots__ = ('_entries', 'revision')
 
     def __init__(self, revision=0, entries=None):
-        """Create a copy, empty if nothing is given.
+        """Create a replica, empty by default.
 
         Args:
           revision: The revision of the entries, an int.
@@ -65,10 +66,10 @@
         self.revision = revision
 
     def changes_since(self, since):
-        """Return what a copy at another revision lacks.
+        """Return the changes that a replica at another revision lacks.
 
         Args:
-          since: The other copy's revision.
+          since: The other replica's revision.
         Returns:
           A ChangeSet.
         """
@@ -80,20 +81,20 @@
         return ChangeSet(since, self.revision, entries)
 
     def preview(self, changes):
-        """Return the documents as they would be after a change set.
+        """Return the documents that would result from a change set.
 
         Args:
           changes: A ChangeSet.
         Returns:
           A map from key to bytes, without deleted keys.
         Raises:
-          StaleRevisionError: If the change set does not lead higher, or
-            starts after this copy's revision.
+          StaleRevisionError: If the change set does not lead to a higher
+            revision, or starts after this replica's revision.
         """
         if changes.revision <= self.revision:
-            raise StaleRevisionError('the revision in force is not lower')
+            raise StaleRevisionError('the change set is not newer')
         if changes.since > self.revision:
-            raise StaleRevisionError('changes are missing in between')
+            raise StaleRevisionError('the change set leaves a gap')
         merged = self._merge(changes)
         return {
             key: entry.payload
@@ -102,12 +103,12 @@
         }
 
     def advanced(self, changes):
-        """Return the copy that a change set accepted by preview leads to.
+        """Return the replica that results from a change set.
 
         Args:
-          changes: A ChangeSet.
+          changes: A ChangeSet that preview() accepted.
         Returns:
-          A new Replica; this one stays as it is.
+          A new Replica; this one is not modified.
         """
         return Replica(changes.revision, self._merge(changes))
 
