--- a/crankchute/core/work_feed_test.py
+++ b/crankchute/core/work_feed_test.py
@@ -1,4 +1,4 @@
-"""Tests of the feed of work between two instances, over a bad network."""
+"""Tests of work replication between two instances on a faulty network."""
 
 import copy
 
@@ -12,136 +12,140 @@
 from crankchute.core.work_feed import WorkFeed, apply_batch
 
 ENGINE = 'engine-1'
-TELLER = 'teller'
-#: A pause after which a missing batch is asked for, and then some.
-LONG_MS = 100
+SENDER = 'sender'
+#: Longer than the window for batches that arrive out of order.
+PAUSE_MS = 100
 
 
-def make_briefing(boot, **told):
+def make_briefing(boot, **exchanged):
     fields = dict.fromkeys(Briefing.__slots__)
-    fields.update(is_serving=True, instance=TELLER, boot=boot, **told)
+    fields.update(is_serving=True, instance=SENDER, boot=boot, **exchanged)
     return Briefing(**fields)
 
 
 class FeedMachine(RuleBasedStateMachine):
-    """A teller that works, a learner, and messages that go astray."""
+    """A sender, a receiver, and messages that are lost or reordered."""
 
     def __init__(self):
         super().__init__()
         self.now_ms = 0
-        self.boot = 0
-        self.numbers = 0
-        self.learner = WorkFeed()
-        self.learned = EngineBoard(lambda: self.now_ms)
-        self.on_the_way = []
+        self.boot_count = 0
+        self.work_count = 0
+        self.receiver = WorkFeed()
+        self.receiver_board = EngineBoard(lambda: self.now_ms)
+        self.in_flight = []
         self.restart()
 
     @rule()
     def restart(self):
-        self.boot += 1
-        self.teller = WorkFeed()
-        self.board = EngineBoard(lambda: self.now_ms)
+        self.boot_count += 1
+        self.sender = WorkFeed()
+        self.sender_board = EngineBoard(lambda: self.now_ms)
         self.outbox = []
 
     @rule()
     def send_work(self):
-        self.numbers += 1
+        self.work_count += 1
         work = make_work(
-            f'work-{self.numbers}',
+            f'work-{self.work_count}',
             ENGINE,
             until_ms=float('inf'),
         )
-        self.board.add(work)
+        self.sender_board.add(work)
         self.outbox.append(WorkNews(Change.SENT, work))
 
     @rule(change=st.sampled_from([Change.STARTED, Change.ENDED]))
     def change_work(self, change):
-        works = self.board.works_of(None)
+        works = self.sender_board.works_of(None)
         if not works:
             return
         news = WorkNews(change, works[0])
-        self.board.note(news)
+        self.sender_board.note(news)
         self.outbox.append(news)
 
     @rule()
     def flush(self):
-        batch = self.teller.make_batch(
+        batch = self.sender.make_batch(
             self.outbox,
-            lambda: self.board.works_of(None),
+            lambda: self.sender_board.works_of(None),
         )
         self.outbox = []
         briefing = make_briefing(
-            f'boot-{self.boot}',
+            f'boot-{self.boot_count}',
             batch=batch,
             wants_work=False,
             lacks_work=False,
         )
-        self.on_the_way.append(copy.deepcopy(briefing))
+        self.in_flight.append(copy.deepcopy(briefing))
 
     @rule()
-    def ask(self):
-        wish = make_briefing(
-            'learner',
+    def add_subscription(self):
+        request = make_briefing(
+            'receiver',
             batch=None,
             wants_work=True,
-            lacks_work=self.learner.is_incomplete(self.now_ms),
+            lacks_work=self.receiver.is_incomplete(self.now_ms),
         )
-        self.teller.record_subscription(wish, self.now_ms)
+        self.sender.record_subscription(request, self.now_ms)
 
-    @rule(chosen=st.integers(0, 3))
-    def deliver(self, chosen):
-        """Deliver a message, the oldest or one that overtakes it."""
-        if not self.on_the_way:
+    @rule(index=st.integers(0, 3))
+    def deliver(self, index):
+        """Deliver the oldest message, or a later one out of order."""
+        if not self.in_flight:
             return
-        briefing = self.on_the_way.pop(chosen % len(self.on_the_way))
-        # Connections end with their process, and their messages with them.
-        if briefing.boot != f'boot-{self.boot}':
+        briefing = self.in_flight.pop(index % len(self.in_flight))
+        # The messages of a process are lost when its connections close.
+        if briefing.boot != f'boot-{self.boot_count}':
             return
-        for batch in self.learner.receive(briefing, self.now_ms):
-            apply_batch(self.learned, TELLER, batch)
+        for batch in self.receiver.receive(briefing, self.now_ms):
+            apply_batch(self.receiver_board, SENDER, batch)
 
     @rule()
     def lose(self):
-        if self.on_the_way:
-            self.on_the_way.pop()
+        if self.in_flight:
+            self.in_flight.pop()
 
     @rule()
-    def miss(self):
-        """Lose a message with news."""
+    def lose_change(self):
+        """Lose a message that carries a change."""
         self.send_work()
         self.flush()
         self.lose()
 
     @rule()
-    def overtake(self):
-        """Let the end of a work overtake its beginning."""
+    def reorder(self):
+        """Deliver the end of a work before its start."""
         self.send_work()
         self.flush()
-        work = self.board.works_of(None)[-1]
+        work = self.sender_board.works_of(None)[-1]
         ended = WorkNews(Change.ENDED, work)
-        self.board.note(ended)
+        self.sender_board.note(ended)
         self.outbox.append(ended)
         self.flush()
-        self.deliver(len(self.on_the_way) - 1)
-        self.deliver(len(self.on_the_way) - 1)
+        self.deliver(len(self.in_flight) - 1)
+        self.deliver(len(self.in_flight) - 1)
 
     @rule()
-    def exchange(self):
-        """Let the network be good for a while."""
-        self.now_ms += LONG_MS
-        self.ask()
+    def exchange_reliably(self):
+        """Exchange all messages without loss or reordering."""
+        self.now_ms += PAUSE_MS
+        self.add_subscription()
         self.flush()
-        while self.on_the_way:
+        while self.in_flight:
             self.deliver(0)
 
     def teardown(self):
-        """Both agree once the network was good for long enough."""
+        """Check that both boards agree after reliable exchanges."""
         for _ in range(3):
-            self.exchange()
-        assert not self.learner.is_incomplete(self.now_ms)
-        own = {one.key: one.started for one in self.board.works_of(None)}
-        told = {one.key: one.started for one in self.learned.works_of(TELLER)}
-        assert told == own
+            self.exchange_reliably()
+        assert not self.receiver.is_incomplete(self.now_ms)
+        sent = {
+            one.key: one.started for one in self.sender_board.works_of(None)
+        }
+        received = {
+            one.key: one.started for one in self.receiver_board.works_of(SENDER)
+        }
+        assert received == sent
 
 
 FeedMachine.TestCase.settings = settings(
