--- a/bench/ablations.py
+++ b/bench/ablations.py
@@ -71,20 +71,20 @@
 _leave_out(
     'all work at once',
     f'{_CORE}/work_feed.py',
-    'if self._owes_all:',
-    'if self._owes_all and not self:',
+    'if self._owes_snapshot:',
+    'if self._owes_snapshot and not self:',
 )
 _leave_out(
     'followers',
     f'{_CORE}/sharing.py',
-    '_MOST_FOLLOWERS = 9',
-    '_MOST_FOLLOWERS = 0',
+    '_MAX_FOLLOWERS = 9',
+    '_MAX_FOLLOWERS = 0',
 )
 _leave_out(
     'few active instances',
     f'{_CORE}/active_choice.py',
-    '_LEAST_ACTIVE = 3',
-    '_LEAST_ACTIVE = 99',
+    '_MIN_ACTIVE = 3',
+    '_MIN_ACTIVE = 99',
 )
 _leave_out(
     'reports at the start',
