--- a/crankchute/core/hold_release.py
+++ b/crankchute/core/hold_release.py
@@ -1,37 +1,37 @@
-"""Freeing what a group holds on an engine, until the engine answers."""
+"""Releases the memory of an engine group, with retries until acknowledged."""
 
-#: A release without an answer is sent again after this, in milliseconds, and then
-#: after twice as long each time: an engine that is busy answers soon, and one
-#: that is lost need not be asked often.
-_FIRST_PAUSE_MS = 300
-_LONGEST_PAUSE_MS = 4800
+#: Delay before the first retry of an unanswered release, in milliseconds.
+#: It doubles with every further retry, up to the maximum.
+_FIRST_RETRY_MS = 300
+_MAX_RETRY_MS = 4800
 
 
 def release_hold(desk, backend, group, until_ms):
-    """Free what a group holds; ask again while that may not have arrived.
+    """Release the memory of a group on one engine.
 
-    Without that, one lost order kept a group's memory until its request's
-    deadline, which may be minutes away.
+    Without retries, a lost order would leave the memory occupied until the
+    deadline of the request, possibly for minutes.
 
     Args:
       desk: A FlowDesk.
       backend: The Backend.
       group: The group's id.
-      until_ms: When the hold ends by itself, on this process's clock.
+      until_ms: When the engine frees the memory by itself, on this process's
+        clock; no retry is sent after that.
     """
-    _send(desk, backend, group, until_ms, _FIRST_PAUSE_MS)
+    _send_release(desk, backend, group, until_ms, _FIRST_RETRY_MS)
 
 
-def _send(desk, backend, group, until_ms, pause_ms):
-    def send_again():
+def _send_release(desk, backend, group, until_ms, retry_ms):
+    def send_retry():
         if desk.now_ms() < until_ms:
             desk.metrics.count('orders_unanswered', 'release')
-            next_ms = min(pause_ms * 2, _LONGEST_PAUSE_MS)
-            _send(desk, backend, group, until_ms, next_ms)
+            next_retry_ms = min(retry_ms * 2, _MAX_RETRY_MS)
+            _send_release(desk, backend, group, until_ms, next_retry_ms)
 
-    def take(is_answered):
+    def on_done(is_answered):
         if is_answered:
             retry.cancel()
 
-    retry = desk.timers.after(pause_ms, send_again)
-    desk.engines.release(backend, group, take)
+    retry = desk.timers.after(retry_ms, send_retry)
+    desk.engines.release(backend, group, on_done)
