--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -128,14 +128,14 @@
         _COMPLETIONS,
         _GROUP,
         '            self._release(member.backend, self._group)\n',
-        '            member.held = False\n',
+        '            member.is_held = False\n',
     ),
     Mutation(
         'a hold that comes too late is kept',
         _COMPLETIONS,
         _GROUP,
         '                self._release(member.backend, group)\n',
-        '                member.held = False\n',
+        '                member.is_held = False\n',
     ),
     Mutation(
         'a release before an order that is under way is the last',
--- a/crankchute/core/group_flow.py
+++ b/crankchute/core/group_flow.py
@@ -1,10 +1,11 @@
-"""A prompt beyond one engine's memory, spread over a group of engines.
-
-Members are reserved all or none, in the order of their ids, so that two
-instances that want the same engines cannot each hold half for ever; every
-hold carries the request's deadline, so an engine frees it when its group's
-instance is gone.  Segments are prefilled in turn and kept for import.  A lost
-member is replaced by a spare that prefills that segment alone.
+"""Serves prompts that exceed the memory of one engine on a group of engines.
+
+The prompt is split into segments, one for each member of the group.  Memory is
+reserved at all members or at none, in the order of their ids, so that instances
+that compete for the same engines cannot deadlock.  Each hold expires soon after
+the deadline of its request, so engines free it even if the instance has failed.
+Segments are prefilled one after another and kept for import by the last member.
+A failed member is replaced by a spare engine, which prefills only that segment.
 """
 
 import math
@@ -16,63 +17,63 @@
 
 _BACKOFF_MS = 100
 _DEADLINE_SLACK_MS = 500
-#: By its two highest bits, whether a byte continues a character of UTF-8.
-_CONTINUES = (False, False, True, False)
+#: Whether a byte is a UTF-8 continuation byte, indexed by its two highest bits.
+_IS_CONTINUATION = (False, False, True, False)
 
 
 class Member:
-    """One engine of a group and the segment it carries."""
+    """One engine of a group and its segment of the prompt."""
 
-    __slots__ = ('backend', 'export', 'held', 'index', 'part')
+    __slots__ = ('backend', 'export', 'index', 'is_held', 'segment')
 
-    def __init__(self, index, backend, part):
-        """Create a member that holds nothing yet.
+    def __init__(self, index, backend, segment):
+        """Create a member without reserved memory.
 
         Args:
           index: The segment's index.
           backend: A Backend.
-          part: The segment's bytes.
+          segment: The segment's bytes.
         """
         self.index = index
         self.backend = backend
-        self.part = part
-        self.held = False
+        self.segment = segment
+        self.is_held = False
         self.export = None
 
 
 class GroupShare:
-    """What the last engine of a group is told beside the usual order."""
+    """What the last engine of a group needs beyond a usual order."""
 
-    __slots__ = ('_exports', '_group', '_part')
+    __slots__ = ('_exports', '_group', '_segment')
 
-    def __init__(self, part, group, exports):
+    def __init__(self, segment, group, exports):
         """Create the record.
 
         Args:
-          part: The bytes of the last segment.
+          segment: The bytes of the last segment.
           group: The group's id.
           exports: The SegmentExports of the other members, in order.
         """
-        self._part = part
+        self._segment = segment
         self._group = group
         self._exports = exports
 
     def apply(self, order):
-        """Put it into an order.
+        """Set the fields of an order that concern the group.
 
         Args:
           order: A GenerateOrder.
         """
-        order.prompt = self._part
+        order.prompt = self._segment
         order.group = self._group
         order.imports = self._exports
 
 
 class GroupFlow(SingleFlow):
-    """Serves one job on a group of engines."""
+    """Serves a job on a group of engines."""
 
     def __init__(self, job, desk, sink):
-        """Create a flow; run() starts it.
+        """Create the flow; run() starts it.
 
         Args:
           job: The Job.
@@ -80,33 +81,33 @@
           sink: A RequestSink.
         """
         super().__init__(job, desk, sink)
-        self._round = 0
+        self._group_number = 0
         self._members = []
         self._call = None
 
     def run(self):
-        """Choose the members and start to reserve them.
+        """Choose the members and start to reserve their memory.
 
         Returns:
-          False if there are not enough engines with room.
+          False if too few engines have enough free memory.
         """
         if self._ends_if_held():
             return True
         chosen = self._desk.choose_group(self.job, self._avoided)
         if chosen is None:
             return False
-        parts = cut_prompt(self.job.prompt, len(chosen))
+        segments = split_prompt(self.job.prompt, len(chosen))
         self._members = [
-            Member(index, chosen[index], part)
-            for index, part in enumerate(parts)
+            Member(index, chosen[index], segment)
+            for index, segment in enumerate(segments)
         ]
-        self._round += 1
-        self._note_long(1)
+        self._group_number += 1
+        self._change_serving_long(1)
         self._reserve_next()
         return True
 
     def on_attempt_not_run(self, attempt, rejection):
-        """Replace what the last engine could not import, or start over."""
+        """Replace a lost member, or restart with a new group if none is lost."""
         self.attempt = None
         self._desk.note_attempt_end(self, attempt, rejection.code)
         self._desk.metrics.count('engine_refusals', rejection.code)
@@ -114,55 +115,55 @@
         if lost:
             self._replace(lost[0])
         else:
-            self._start_over(attempt.backend)
+            self._restart(attempt.backend)
 
     @property
     def _group(self):
-        return f'{self.job.request_id}-{self._round}'
+        return f'{self.job.request_id}-{self._group_number}'
 
     def _go_on_elsewhere(self):
-        """Replace the last engine and resume there."""
+        """Replace the last engine after a failure and resume there."""
         self._replace(self._members[-1])
 
     def _is_lost(self, member):
         return not self._desk.is_usable(member.backend, self.job)
 
-    def _note_long(self, change):
+    def _change_serving_long(self, change):
         for member in self._members:
             member.backend.serving_long += change
 
     def _reserve_next(self):
-        waiting = [member for member in self._members if not member.held]
-        if not waiting:
-            self._advance()
+        pending = [member for member in self._members if not member.is_held]
+        if not pending:
+            self._prefill_next()
             return
-        waiting.sort(key=lambda member: member.backend.identity)
-        self._reserve(waiting[0], self._reserve_next)
+        pending.sort(key=lambda member: member.backend.identity)
+        self._reserve(pending[0], self._reserve_next)
 
     def _reserve(self, member, on_held):
-        # Whoever holds memory may have begun to read.
+        # A member that holds memory may have started to prefill.
         self._maybe_ran = True
-        current = self._round
+        group_number = self._group_number
         group = self._group
         remaining_ms = self.job.remaining_ms(self.now_ms())
         order = HoldOrder(
             group,
-            self._desk.count_tokens(self.job, member.part),
+            self._desk.count_tokens(self.job, member.segment),
             remaining_ms + _DEADLINE_SLACK_MS,
         )
 
-        def take(held):
-            if self.ended or current != self._round:
+        def on_done(is_held):
+            if self.ended or group_number != self._group_number:
                 self._release(member.backend, group)
-            elif held:
-                member.held = True
+            elif is_held:
+                member.is_held = True
                 on_held()
             else:
-                self._start_over(member.backend)
+                self._restart(member.backend)
 
-        self._desk.engines.hold(member.backend, order, take)
+        self._desk.engines.hold(member.backend, order, on_done)
 
-    def _advance(self):
+    def _prefill_next(self):
         for member in self._members[:-1]:
             if member.export is None:
                 self._prefill(member)
@@ -170,28 +171,32 @@
         self._generate()
 
     def _prefill(self, member):
-        before = self._members[: member.index]
+        preceding = self._members[: member.index]
         order = SegmentOrder(
             self._group,
             member.index,
             self.job,
-            member.part,
-            before[-1].export.carry if before else '',
+            member.segment,
+            preceding[-1].export.carry if preceding else '',
         )
         order.deadline_ms = self.job.remaining_ms(self.now_ms())
-        current = self._round
+        group_number = self._group_number
 
-        def take(export):
-            if self.ended or current != self._round:
+        def on_done(export):
+            if self.ended or group_number != self._group_number:
                 return
             self._call = None
             if export is None:
                 self._replace(member)
             else:
                 member.export = export
-                self._advance()
+                self._prefill_next()
 
-        self._call = self._desk.engines.prefill(member.backend, order, take)
+        self._call = self._desk.engines.prefill(
+            member.backend,
+            order,
+            on_done,
+        )
 
     def _generate(self):
         last = self._members[-1]
@@ -199,38 +204,38 @@
         placement = Placement(
             last.backend,
             first_ms=self._desk.predict_ms(last.backend, self.job),
-            key=GroupShare(last.part, self._group, exports),
+            key=GroupShare(last.segment, self._group, exports),
         )
         self._launch(placement)
 
     def _replace(self, member):
-        """Put a spare in a lost member's place; only its segment is redone."""
+        """Replace a lost member by a spare engine that prefills its segment."""
         self._avoided.add(member.backend.identity)
         self._release(member.backend, self._group)
         member.backend.serving_long -= 1
-        used = {other.backend.identity for other in self._members}
-        spare = self._desk.choose_spare(self.job, used | self._avoided)
+        member_ids = {other.backend.identity for other in self._members}
+        spare = self._desk.choose_spare(self.job, member_ids | self._avoided)
         if spare is None:
             member.backend.serving_long += 1
-            self._start_over(member.backend)
+            self._restart(member.backend)
             return
         member.backend = spare
         member.backend.serving_long += 1
-        member.held = False
+        member.is_held = False
         member.export = None
         self._desk.metrics.count('group_replacements')
-        self._reserve(member, self._advance)
+        self._reserve(member, self._prefill_next)
 
-    def _start_over(self, backend):
-        """Free everything and queue again after a random pause."""
+    def _restart(self, backend):
+        """Release the group and queue the job again after a random delay."""
         self._desk.leave_alone(backend, _BACKOFF_MS)
         self._release_all()
-        self._round += 1
+        self._group_number += 1
         self._desk.metrics.count('group_restarts')
         self._desk.requeue(self)
 
     def _end(self, outcome, code):
-        """Free every hold at every end."""
+        """Release the memory of the group however the request ends."""
         if self._call is not None:
             self._call.cancel()
             self._call = None
@@ -243,29 +248,29 @@
 
     def _release_all(self):
         members = self._members
-        self._note_long(-1)
+        self._change_serving_long(-1)
         self._members = []
         for member in members:
             self._release(member.backend, self._group)
 
 
-def cut_prompt(prompt, count):
-    """Cut a prompt into parts of about the same length.
+def split_prompt(prompt, count):
+    """Split a prompt into segments of about the same length.
 
     Args:
-      prompt: Bytes of text in UTF-8; no character is cut through.
-      count: How many parts.
+      prompt: UTF-8 text as bytes; it is split only between characters.
+      count: The number of segments.
     Returns:
       A list of bytes.
     """
     size = math.ceil(len(prompt) / count)
-    starts = [_find_character(prompt, size * index) for index in range(count)]
+    starts = [_align_offset(prompt, size * index) for index in range(count)]
     ends = [*starts[1:], len(prompt)]
     return [prompt[start:end] for start, end in zip(starts, ends)]
 
 
-def _find_character(prompt, place):
-    """Return the place of the first character at or after a place."""
-    while place < len(prompt) and _CONTINUES[prompt[place] >> 6]:
-        place += 1
-    return min(place, len(prompt))
+def _align_offset(prompt, offset):
+    """Return the start of the first character at or after an offset."""
+    while offset < len(prompt) and _IS_CONTINUATION[prompt[offset] >> 6]:
+        offset += 1
+    return min(offset, len(prompt))
--- a/crankchute/core/group_flow_test.py
+++ b/crankchute/core/group_flow_test.py
@@ -1,4 +1,4 @@
-"""Tests of groups of engines: cut prompts, and memory that is given back."""
+"""Tests of engine groups: splitting prompts and releasing memory."""
 
 import random
 
@@ -16,28 +16,28 @@
     make_load,
 )
 from crankchute.core.fleet import Fleet
-from crankchute.core.group_flow import cut_prompt
+from crankchute.core.group_flow import split_prompt
 from crankchute.core.limits import AccountLimits
 from crankchute.ports.metrics import Metrics
 
 
 @pytest.mark.parametrize('text', ['plain words', 'Zürich–Łódź', '票' * 7, 'é'])
 @pytest.mark.parametrize('count', [1, 2, 3, 4])
-def test_no_character_is_cut_through(text, count):
-    """Each part is text of its own, and together they are the prompt."""
-    parts = cut_prompt(text.encode(), count)
-    assert len(parts) == count
-    assert ''.join(part.decode() for part in parts) == text
+def test_split_prompt_keeps_characters_whole(text, count):
+    """Each segment is valid UTF-8, and together they equal the prompt."""
+    segments = split_prompt(text.encode(), count)
+    assert len(segments) == count
+    assert ''.join(segment.decode() for segment in segments) == text
 
 
-class Group:
-    """A prompt for which one of three engines holds memory."""
+class GroupFixture:
+    """A prompt for a group of engines, one of which holds memory for it."""
 
     def __init__(self):
         self.timers = ManualTimers()
         self.engines = FakeEngines()
         fleet = Fleet()
-        fleet.replace([make_listed(f'engine-{one}') for one in range(3)])
+        fleet.replace([make_listed(f'engine-{number}') for number in range(3)])
         for backend in fleet:
             fleet.note_load(backend, make_load(0))
         ports = Ports(
@@ -55,12 +55,12 @@
         self.engines.asked.pop()(True)
 
 
-@pytest.mark.parametrize('lost', [0, 1, 3])
-def test_hold_is_freed_though_releases_are_lost(lost):
-    """An engine would keep it until the deadline of a request that is over."""
-    group = Group()
-    group.engines.lost_releases = lost
-    assert group.engines.held
-    group.dispatcher.cancel(group.flow)
-    group.timers.advance(4000)
-    assert not group.engines.held
+@pytest.mark.parametrize('lost_releases', [0, 1, 3])
+def test_lost_release_is_retried(lost_releases):
+    """Otherwise the memory stays occupied until the request's deadline."""
+    fixture = GroupFixture()
+    fixture.engines.lost_releases = lost_releases
+    assert fixture.engines.held
+    fixture.dispatcher.cancel(fixture.flow)
+    fixture.timers.advance(4000)
+    assert not fixture.engines.held
