--- a/crankchute/core/lease.py
+++ b/crankchute/core/lease.py
@@ -1,42 +1,40 @@
-"""Memory at one engine, from the first order about it until it is free.
+"""Memory reserved at one engine, from the first order until it is free.
 
-An order may be lost with its connection, arrive after one that was sent later,
-or be carried out long after it was given up.  So an answered release proves
-that memory is free only if no earlier order may still set it aside.
+An order may be lost with its connection, overtaken by a later one, or executed
+long after its sender gave it up.  An answered release therefore proves that the
+memory is free only if no earlier order may still reserve it.
 """
 
 from functools import partial
 
-#: The names of the two orders, as logs tell them.
+#: The names of orders in logs and metrics.
 RESERVE = 'reserve'
 RELEASE = 'release'
-#: How often memory is asked for while there is no answer, which takes some 5 ms,
-#: and with what pause.  On days on which half of the orders go unanswered, asking
-#: once was worth 0.75 and this is worth 0.89 (means of four plays of two seeds).
-_ASKS = 3
-_ASK_PAUSE_MS = 60
-#: After this long without an answer another engine is chosen.
+#: How often a reserve order is sent while none is answered, and at which
+#: interval, in milliseconds.  Repeating it makes up for lost orders.
+_RESERVE_ATTEMPTS = 3
+_RESERVE_RETRY_MS = 60
+#: Timeout of all reserve attempts together, in milliseconds; another engine is
+#: chosen after it.
 _ASK_MS = 250
 #: How long an engine keeps memory that is not renewed.  Shorter than the four
-#: seconds after which unused memory counts as lost, and longer than two
-#: renewals, so that one lost renewal does no harm.
+#: seconds after which unused memory counts as leaked, and longer than two
+#: renewal intervals, so that a single lost renewal is harmless.
 HOLD_MS = 3700
-#: How long an order that was left unanswered may still be carried out: the
-#: platform's pages speak of seconds, of twelve at most where they list faults.
-_LATE_MS = 12_000
-#: A release that is not answered after this is sent again, in milliseconds.
-_FIRST_PAUSE_MS = 300
-#: The same from the second time on.
-_PAUSE_MS = 600
-#: How often memory is released that only an order carried out late may hold, in
-#: milliseconds.  A pause of 1200 took 2,000 to 2,500 orders on days on which half
-#: of them are carried out late, this takes 900 to 1,300 (four plays each, the
-#: latter with three orders in 250 ms).
-_LATE_PAUSE_MS = 1900
-#: How long a release may be on its way, in milliseconds; further ones are sent
-#: meanwhile.  Three that were given up after 250 ms each freed nothing at an
-#: instance that heard 1.4 s late, and memory was kept for 5.1 s after its use.
-_PATIENCE_MS = 4000
+#: How long an unanswered order may still be executed; the platform documents
+#: delays of at most twelve seconds.
+_MAX_ORDER_DELAY_MS = 12_000
+#: Delay before the first retry of an unanswered release, in milliseconds, and
+#: before later ones.
+_FIRST_RETRY_MS = 300
+_RETRY_MS = 600
+#: Interval of releases while only an order that is executed late may reserve
+#: the memory, in milliseconds.  It limits the traffic while orders are delayed.
+_LATE_RETRY_MS = 1900
+#: Timeout of a single release, in milliseconds; retries are sent meanwhile.
+#: Longer than the delay of a congested link, so that releases are not given up
+#: before they arrive.
+_RELEASE_TIMEOUT_MS = 4000
 
 
 class Lease:
@@ -47,108 +45,111 @@
     """
 
     __slots__ = (
-        '_asking',
+        '_acquire_timers',
         '_desk',
         '_held_until_ms',
-        '_is_over',
+        '_is_freed',
         '_is_released',
         '_late_until_ms',
         '_on_done',
-        '_releases',
+        '_pending_reserves',
+        '_release_count',
+        '_release_timer',
         '_request_id',
-        '_retry',
-        '_unsettled',
         'helper',
     )
 
     def __init__(self, desk, request_id, helper):
-        """Create a lease about which nothing was asked.
+        """Create the lease without sending an order.
 
         Args:
           desk: The ReservationDesk.
-          request_id: The id of the request it is for, for logs.
+          request_id: The id of the request, for logs.
           helper: A Helper with a ticket.
         """
         self._desk = desk
         self._request_id = request_id
-        self._unsettled = 0
+        self._pending_reserves = 0
         self._held_until_ms = 0
         self._late_until_ms = 0
         self._is_released = False
-        self._is_over = False
-        self._releases = 0
-        self._retry = None
+        self._is_freed = False
+        self._release_count = 0
+        self._release_timer = None
         self._on_done = None
-        self._asking = ()
+        self._acquire_timers = ()
         self.helper = helper
 
-    def set_aside(self, on_done):
-        """Ask for the memory, a few times while there is no answer.
+    def acquire(self, on_done):
+        """Reserve the memory, with retries while there is no answer.
 
         Args:
-          on_done: See ReservationPort.reserve; told once, of the first answer.
+          on_done: See ReservationPort.reserve; it is called once, with the
+            first answer or after the timeout.
         """
         self._on_done = on_done
         timers = self._desk.timers
-        self._asking = [
-            timers.after(repeat * _ASK_PAUSE_MS, self._ask)
-            for repeat in range(1, _ASKS)
+        self._acquire_timers = [
+            timers.after(attempt * _RESERVE_RETRY_MS, self._try_acquire)
+            for attempt in range(1, _RESERVE_ATTEMPTS)
         ]
-        self._asking.append(timers.after(_ASK_MS, lambda: self._tell(None)))
-        self._ask()
+        self._acquire_timers.append(
+            timers.after(_ASK_MS, lambda: self._finish_acquire(None))
+        )
+        self._try_acquire()
 
     def renew(self, on_done):
-        """Keep the memory for longer.
+        """Extend the reservation.
 
         Args:
           on_done: See ReservationPort.reserve.
         """
-        self._reserve(on_done)
+        self._send_reserve(on_done)
 
     def release(self):
-        """Free the memory, and ask until it must be free."""
+        """Release the memory, with retries until it is known to be free."""
         if not self._is_released:
-            self._stop_asking()
+            self._cancel_acquire_timers()
             self._is_released = True
             self._send_release()
 
-    def _ask(self):
-        self._reserve(self._take_asked)
+    def _try_acquire(self):
+        self._send_reserve(self._on_acquire_answer)
 
-    def _take_asked(self, is_reserved):
+    def _on_acquire_answer(self, is_reserved):
         if is_reserved is not None:
-            self._tell(is_reserved)
+            self._finish_acquire(is_reserved)
 
-    def _tell(self, is_reserved):
-        """Tell, once, whether the memory is set aside."""
-        self._stop_asking()
+    def _finish_acquire(self, is_reserved):
+        """Report the outcome of acquire(), at most once."""
+        self._cancel_acquire_timers()
         on_done = self._on_done
         self._on_done = None
         if on_done is not None:
             on_done(is_reserved)
 
-    def _stop_asking(self):
-        for repeat in self._asking:
-            repeat.cancel()
+    def _cancel_acquire_timers(self):
+        for timer in self._acquire_timers:
+            timer.cancel()
 
-    def _reserve(self, on_done):
-        self._unsettled += 1
+    def _send_reserve(self, on_done):
+        self._pending_reserves += 1
 
-        def take(is_reserved):
-            self._unsettled -= 1
-            self._note_reserved(is_reserved)
+        def on_answer(is_reserved):
+            self._pending_reserves -= 1
+            self._note_reserve_answer(is_reserved)
             if self._is_released:
-                # The release may have gone before this order.
-                self._release_again()
+                # The engine may have executed this order after the release.
+                self._retry_release()
             on_done(is_reserved)
 
-        self._desk.port.reserve(self.helper, HOLD_MS, take)
+        self._desk.port.reserve(self.helper, HOLD_MS, on_answer)
 
-    def _note_reserved(self, is_reserved):
+    def _note_reserve_answer(self, is_reserved):
         now_ms = self._desk.now_ms()
         if is_reserved is None:
             self._note_unanswered(RESERVE)
-            self._late_until_ms = now_ms + _LATE_MS
+            self._late_until_ms = now_ms + _MAX_ORDER_DELAY_MS
         if is_reserved is not False:
             self._held_until_ms = now_ms + HOLD_MS
 
@@ -161,54 +162,57 @@
         )
 
     def _send_release(self):
-        self._releases += 1
-        self._retry = self._desk.timers.after(
-            self._pause_ms(),
-            self._release_again,
+        self._release_count += 1
+        self._release_timer = self._desk.timers.after(
+            self._release_interval_ms(),
+            self._retry_release,
         )
         self._desk.port.release(
             self.helper,
-            _PATIENCE_MS,
-            partial(self._take_release, is_last=not self._unsettled),
+            _RELEASE_TIMEOUT_MS,
+            partial(
+                self._on_release_answer,
+                is_conclusive=not self._pending_reserves,
+            ),
         )
 
-    def _take_release(self, is_answered, *, is_last):
-        """Take the answer to a release.
+    def _on_release_answer(self, is_answered, *, is_conclusive):
+        """Handle the answer to a release, or its timeout.
 
         Args:
           is_answered: A bool.
-          is_last: Whether every order before it had been answered or given
-            up when it was sent, a bool.
+          is_conclusive: Whether no reserve order was awaiting its answer when
+            the release was sent, a bool.
         """
         if not is_answered:
             self._note_unanswered(RELEASE)
-        elif is_last and not self._is_over:
+        elif is_conclusive and not self._is_freed:
             self._held_until_ms = 0
             if self._desk.now_ms() >= self._late_until_ms:
-                self._end()
+                self._note_free()
 
-    def _release_again(self):
-        """Release the memory once more, unless it must be free."""
-        if self._is_over:
+    def _retry_release(self):
+        """Release the memory again, unless it is known to be free."""
+        if self._is_freed:
             return
-        self._retry.cancel()
+        self._release_timer.cancel()
         until_ms = max(self._held_until_ms, self._late_until_ms)
-        if self._unsettled or self._desk.now_ms() < until_ms:
+        if self._pending_reserves or self._desk.now_ms() < until_ms:
             self._send_release()
         else:
-            self._end()
+            self._note_free()
 
-    def _pause_ms(self):
-        may_be_held = self._desk.now_ms() < self._held_until_ms
-        if not may_be_held and not self._unsettled:
-            return _LATE_PAUSE_MS
-        return _FIRST_PAUSE_MS if self._releases == 1 else _PAUSE_MS
+    def _release_interval_ms(self):
+        may_be_reserved = self._desk.now_ms() < self._held_until_ms
+        if not may_be_reserved and not self._pending_reserves:
+            return _LATE_RETRY_MS
+        return _FIRST_RETRY_MS if self._release_count == 1 else _RETRY_MS
 
-    def _end(self):
-        self._is_over = True
-        self._retry.cancel()
+    def _note_free(self):
+        self._is_freed = True
+        self._release_timer.cancel()
         self._desk.journal.log_released(
             self._request_id,
             self.helper,
-            self._releases,
+            self._release_count,
         )
--- a/crankchute/core/reservations.py
+++ b/crankchute/core/reservations.py
@@ -1,9 +1,9 @@
-"""Memory set aside at engines for a prompt that several of them hold.
+"""Reserves memory at the engines that share the prompt of one attempt.
 
-A reservation has one user, the attempt it was made for, and is released when
-that ends.  An engine keeps it for a short time only and it is renewed while
-it is used, so that what a lost instance left frees itself soon.  How orders
-about one engine's memory may go wrong is the matter of core/lease.py.
+A reservation belongs to one attempt and is released when that ends.  Engines
+keep it only for a short time unless it is renewed, so that memory reserved by
+an instance that failed is soon free.  core/lease.py handles lost and delayed
+orders to a single engine.
 """
 
 import abc
@@ -11,45 +11,47 @@
 
 from crankchute.core.lease import HOLD_MS, Lease
 
-_RENEW_MS = 1200
-#: How long memory may be set aside unused where a deployment does not tell.
-_MOST_UNUSED_MS = 9000
-#: What is kept free of that for orders that are under way, in milliseconds:
-#: packets have waited for 1.4 s at the link of an instance.
-_PATH_MS = 1500
+_RENEWAL_MS = 1200
+#: How long memory may be reserved without being used, in milliseconds, unless
+#: the settings say otherwise.
+_DEFAULT_MAX_UNUSED_MS = 9000
+#: The part of that limit that is set aside for orders in transit, in
+#: milliseconds.  Longer than the delay of a congested link.
+_NETWORK_DELAY_MS = 1500
 
 
 class ReservationPort(abc.ABC):
-    """Orders to engines; every answer comes later, on the loop."""
+    """Sends orders about memory to engines; answers arrive asynchronously."""
 
     @abc.abstractmethod
     def reserve(self, helper, hold_ms, on_done):
-        """Set memory aside, or keep what is set aside for longer.
+        """Reserve memory, or extend a reservation.
 
         Args:
           helper: A Helper with a ticket.
-          hold_ms: Milliseconds from the order's arrival.
-          on_done: A function of True (set aside), False (refused) or None
-            (no answer: it may be set aside, now or seconds later).
+          hold_ms: How long the engine keeps the memory after the order has
+            arrived, in milliseconds.
+          on_done: A function of True (reserved), False (refused) or None (no
+            answer: the order may have been executed, or may be seconds later).
         """
 
     @abc.abstractmethod
     def release(self, helper, patience_ms, on_done):
-        """Free what was set aside.
+        """Release reserved memory.
 
         Args:
           helper: A Helper with a ticket.
-          patience_ms: How long the order and its answer may take.
+          patience_ms: Timeout of the order and its answer, in milliseconds.
           on_done: A function of a bool, whether the engine answered.
         """
 
 
 class Reservation:
-    """The memory of one attempt, at all its engines or at none.
+    """The memory of one attempt, reserved at all its engines or at none.
 
     Attributes:
-      unused_until_ms: Until when the attempt may keep it without a sign that
-        it is used, on this process's clock.
+      unused_until_ms: When the attempt must release the memory if it has not
+        been used by then, on this process's clock.
     """
 
     __slots__ = (
@@ -58,69 +60,69 @@
         '_is_used',
         '_leases',
         '_on_done',
+        '_pending',
         '_refused',
-        '_renewal',
+        '_renewal_timer',
         '_request_id',
         '_start_ms',
-        '_waiting',
         'unused_until_ms',
     )
 
     def __init__(self, desk, request_id, helpers, on_done):
-        """Create the reservation; start() asks for the memory.
+        """Create the reservation; start() sends the orders.
 
         Args:
           desk: The ReservationDesk.
-          request_id: The id of the request it is for, for logs.
+          request_id: The id of the request, for logs.
           helpers: Helpers with tickets.
-          on_done: A function of the Helpers whose engines set no memory
-            aside, an empty list if all did.
+          on_done: A function of a list of the Helpers whose engines reserved
+            no memory; the list is empty if all did.
         """
         self._desk = desk
         self._request_id = request_id
-        self._leases = [Lease(desk, request_id, one) for one in helpers]
+        self._leases = [Lease(desk, request_id, helper) for helper in helpers]
         self._on_done = on_done
-        self._waiting = len(helpers)
+        self._pending = len(helpers)
         self._refused = []
-        self._renewal = None
+        self._renewal_timer = None
         self._start_ms = desk.now_ms()
         self._ended = False
         self._is_used = False
         self.unused_until_ms = self._start_ms + desk.unused_ms
 
     def start(self):
-        """Ask every engine at once."""
+        """Send reserve orders to all engines."""
         for lease in self._leases:
-            self._ask(lease)
+            self._acquire(lease)
 
     def note_used(self):
-        """Note that the request began to run."""
+        """Note that the request started to run, and resume paused renewals."""
         if not self._is_used:
             self._is_used = True
-            if self._renewal is not None and self._is_late_start():
+            if self._renewal_timer is not None and self._is_start_overdue():
                 self._renew()
 
     def release(self):
-        """Free all of it."""
+        """Release the memory at all engines."""
         if self._ended:
             return
         self._ended = True
-        if self._renewal is not None:
-            self._renewal.cancel()
+        if self._renewal_timer is not None:
+            self._renewal_timer.cancel()
         for lease in self._leases:
             lease.release()
 
-    def _ask(self, lease):
-        def take(is_reserved):
-            self._waiting -= 1
+    def _acquire(self, lease):
+        def on_acquired(is_reserved):
+            self._pending -= 1
             if not is_reserved:
                 self._refused.append(lease.helper)
-            if not self._waiting and not self._ended:
-                self._finish()
+            if not self._pending and not self._ended:
+                self._on_all_answered()
 
-        lease.set_aside(take)
+        lease.acquire(on_acquired)
 
-    def _finish(self):
+    def _on_all_answered(self):
         self._desk.journal.log_set_aside(
             self._request_id,
             [lease.helper for lease in self._leases],
@@ -130,16 +132,18 @@
         if self._refused:
             self.release()
         else:
-            self._renewal = self._desk.timers.every(_RENEW_MS, self._renew)
+            self._renewal_timer = self._desk.timers.every(
+                _RENEWAL_MS, self._renew
+            )
         self._on_done(self._refused)
 
-    def _is_late_start(self):
-        """Tell whether renewals rest until the memory is used."""
-        waited_ms = self._desk.now_ms() - self._start_ms
-        return waited_ms > self._desk.renewed_unused_ms
+    def _is_start_overdue(self):
+        """Tell whether renewals are paused until the memory is used."""
+        elapsed_ms = self._desk.now_ms() - self._start_ms
+        return elapsed_ms > self._desk.unused_renewal_ms
 
     def _renew(self):
-        if self._is_late_start() and not self._is_used:
+        if self._is_start_overdue() and not self._is_used:
             return
         for lease in self._leases:
             lease.renew(self._note_renewed)
@@ -156,10 +160,10 @@
       port: A ReservationPort.
       timers: A TimerService.
       metrics: A Metrics port.
-      journal: A ForwardJournal, which logs what became of the memory.
-      unused_ms: How long an attempt may keep memory without a sign that it
-        is used, in milliseconds.
-      renewed_unused_ms: How long such memory is renewed, in milliseconds.
+      journal: A ForwardJournal, which logs the orders and their outcomes.
+      unused_ms: How long an attempt may keep memory that it has not used, in
+        milliseconds.
+      unused_renewal_ms: How long such memory is renewed, in milliseconds.
     """
 
     def __init__(self, port, timers, metrics, journal, owner):
@@ -170,41 +174,41 @@
           timers: A TimerService.
           metrics: A Metrics port.
           journal: A ForwardJournal.
-          owner: What the ids of tickets begin with: instance and boot.
+          owner: The prefix of ticket ids: instance and boot.
         """
         self.port = port
         self.timers = timers
         self.metrics = metrics
         self.journal = journal
         self._owner = owner
-        self._numbers = itertools.count()
-        self.change_limits(_MOST_UNUSED_MS)
+        self._ticket_numbers = itertools.count()
+        self.change_limits(_DEFAULT_MAX_UNUSED_MS)
 
     def now_ms(self):
         """Return the time on this process's clock."""
         return self.timers.clock.now_ms()
 
-    def change_limits(self, most_unused_ms):
-        """Take another limit for what is set aside from now on.
+    def change_limits(self, max_unused_ms):
+        """Change the limits for future reservations.
 
         Args:
-          most_unused_ms: How long memory may be set aside while no request
-            uses it, in milliseconds.
+          max_unused_ms: How long memory may be reserved without being used,
+            in milliseconds.
         """
-        self.unused_ms = most_unused_ms - _PATH_MS
-        # What was renewed last lapses within the limit by itself, so that it
-        # does not matter whether this instance lives to release it.
-        self.renewed_unused_ms = self.unused_ms - HOLD_MS
+        self.unused_ms = max_unused_ms - _NETWORK_DELAY_MS
+        # The last renewal expires within the limit, so that the limit holds
+        # even if this instance fails before it releases the memory.
+        self.unused_renewal_ms = self.unused_ms - HOLD_MS
 
     def new_ticket(self):
-        """Return the id of a new ticket, never used before."""
-        return f'{self._owner}-{next(self._numbers)}'
+        """Return a unique ticket id."""
+        return f'{self._owner}-{next(self._ticket_numbers)}'
 
     def reserve(self, request_id, helpers, on_done):
-        """Set memory aside at several engines, at all or none.
+        """Reserve memory at all given engines or at none.
 
         Args:
-          request_id: The id of the request it is for, for logs.
+          request_id: The id of the request, for logs.
           helpers: Helpers with tickets.
           on_done: See Reservation.
         Returns:
