--- a/crankchute/core/reservations.py
+++ b/crankchute/core/reservations.py
@@ -15,8 +15,8 @@
 #: How long memory may be reserved without being used, in milliseconds, unless
 #: the settings say otherwise.
 _DEFAULT_MAX_UNUSED_MS = 9000
-#: The part of that limit that is set aside for orders in transit, in
-#: milliseconds.  Longer than the delay of a congested link.
+#: Subtracted from that limit to allow for orders in transit, in milliseconds.
+#: Longer than the delay of a congested link.
 _NETWORK_DELAY_MS = 1500
 
 
