--- a/crankchute/core/forward_fakes.py
+++ b/crankchute/core/forward_fakes.py
@@ -1,4 +1,4 @@
-"""Small fakes of the ports of forwarding, for tests and embedders."""
+"""Fakes of the forwarding ports, for tests, benchmarks and embedders."""
 
 from random import Random
 
@@ -26,23 +26,23 @@
 POOL = 'pool-a'
 _DEADLINE_MS = 10_000
 _GOAL_MS = 300
-_WINDOW_MS = 10_000
+_RETRY_WINDOW_MS = 10_000
 _FIRST_PORT = 7000
-_CONNECTIONS = 64
-#: How long SlowOrders wait until memory is set aside, in milliseconds.
-_ORDER_MS = 250
-_USUAL_SIZE = PromptSize(prompt=5000, answer=1000)  # noqa: WPS432
+_MAX_CONNECTIONS = 64
+#: Timeout of reserve orders in DelayedReservations, in milliseconds.
+_RESERVE_TIMEOUT_MS = 250
+_DEFAULT_SIZE = PromptSize(prompt=5000, answer=1000)  # noqa: WPS432
 
 
 class FakeCall:
-    """An attempt that waits for a test to answer it.
+    """An attempt that the test answers.
 
     Attributes:
       placement: The Placement.
       order: The AttemptOrder.
       listener: The AttemptListener.
-      sent: Whether bytes may have left, a bool.
-      cancelled: Whether it was given up, a bool.
+      sent: Whether any bytes may have been sent, a bool.
+      cancelled: Whether the attempt was cancelled, a bool.
     """
 
     def __init__(self, placement, order, listener):
@@ -54,22 +54,22 @@
         self.cancelled = False
 
     def cancel(self):
-        """Note that the attempt was given up."""
+        """Record the cancellation."""
         self.cancelled = True
 
 
 class FakePort(ForwardPort):
-    """Keeps what is sent.
+    """Records the requests that are sent.
 
     Attributes:
       calls: The FakeCalls, a list.
       forgotten: The ids of servers whose connections were closed, a list.
-      listening: A map from a server's id to whether somebody listens there;
-        of others that is not known.
+      listening: A dict from server id to whether a process listens there;
+        this is unknown for servers that are missing.
     """
 
     def __init__(self):
-        """Create without calls."""
+        """Create the port without calls."""
         self.calls = []
         self.forgotten = []
         self.listening = {}
@@ -90,16 +90,16 @@
 
 
 class FakeReservations(ReservationPort):
-    """Keeps orders until a test answers them.
+    """Records memory orders until the test answers them.
 
     Attributes:
-      asked: Pairs of Helper and answer function, of reserve orders.
+      asked: The unanswered reserve orders, pairs of a Helper and a callback.
       released: The tickets of release orders, a list.
       answers_release: Whether release orders are answered, a bool.
     """
 
     def __init__(self):
-        """Create without orders."""
+        """Create the port without orders."""
         self.asked = []
         self.released = []
         self.answers_release = True
@@ -114,30 +114,30 @@
         on_done(self.answers_release)
 
     def answer(self, is_done):
-        """Answer every order that waits.
+        """Answer all unanswered reserve orders.
 
         Args:
           is_done: True, False or None; see ReservationPort.reserve.
         """
-        waiting = self.asked
+        pending = self.asked
         self.asked = []
-        for _helper, on_done in waiting:
+        for _helper, on_done in pending:
             on_done(is_done)
 
 
-class SlowOrders(ReservationPort):
-    """Engines' memory, over a network on which orders are late or lost.
+class DelayedReservations(ReservationPort):
+    """Simulates the memory of engines behind a slow or lossy network.
 
-    An order is answered when it arrives, unless it takes longer than it is
-    waited for: then it counts as unanswered, and arrives all the same.
+    An order is executed and answered when it arrives.  If that is after its
+    timeout, it counts as unanswered but is executed nevertheless.
 
     Attributes:
       delay_ms: How long orders take to arrive, or None if they are lost.
-      held_until_ms: A map from ticket to when its memory frees itself.
+      held_until_ms: A dict from ticket to when its reservation expires.
     """
 
     def __init__(self, timers):
-        """Create engines that hold nothing.
+        """Create the simulation without reservations.
 
         Args:
           timers: A TimerService.
@@ -149,51 +149,51 @@
     def reserve(self, helper, hold_ms, on_done):
         """See ReservationPort."""
 
-        def arrive():
+        def execute():
             until_ms = self._timers.clock.now_ms() + hold_ms
             self.held_until_ms[helper.ticket] = until_ms
 
-        def take(is_answered):
+        def on_answer(is_answered):
             on_done(is_answered or None)
 
-        self._send(arrive, _ORDER_MS, take)
+        self._send(execute, _RESERVE_TIMEOUT_MS, on_answer)
 
     def release(self, helper, patience_ms, on_done):
         """See ReservationPort."""
 
-        def arrive():
+        def execute():
             self.held_until_ms.pop(helper.ticket, None)
 
-        self._send(arrive, patience_ms, on_done)
+        self._send(execute, patience_ms, on_done)
 
     def is_held(self, ticket):
-        """Tell whether memory is set aside.
+        """Tell whether memory is reserved.
 
         Args:
-          ticket: Its id.
+          ticket: The reservation's ticket id.
         """
         until_ms = self.held_until_ms.get(ticket, 0)
         return until_ms > self._timers.clock.now_ms()
 
-    def _send(self, arrive, patience_ms, on_done):
+    def _send(self, execute, timeout_ms, on_done):
         delay_ms = self.delay_ms
         if delay_ms is not None:
-            self._timers.after(delay_ms, arrive)
-        is_answered = delay_ms is not None and delay_ms < patience_ms
-        waited_ms = delay_ms if is_answered else patience_ms
-        self._timers.after(waited_ms, lambda: on_done(is_answered))
+            self._timers.after(delay_ms, execute)
+        is_answered = delay_ms is not None and delay_ms < timeout_ms
+        answer_ms = delay_ms if is_answered else timeout_ms
+        self._timers.after(answer_ms, lambda: on_done(is_answered))
 
 
 class FakeSink(AnswerSink):
-    """Keeps what a caller would see.
+    """Records what a caller would receive.
 
     Attributes:
-      seen: A list of pairs of a word and what came with it.
-      hint_ms: When it was told to come back, in milliseconds, or None.
+      seen: A list of pairs of an event's name and its main value.
+      hint_ms: The retry delay of a refusal, in milliseconds, or None.
     """
 
     def __init__(self):
-        """Create without an answer."""
+        """Create the sink without an answer."""
         self.seen = []
         self.hint_ms = None
 
@@ -220,17 +220,17 @@
 
 
 class FakeJournal:
-    """Keeps the ends that were logged, and what became of memory.
+    """Records the logged ends of requests and events about memory.
 
     Attributes:
-      ends: Codes, a list.
-      memory: Tuples of a word, a ticket or tickets, and what came with them.
+      ends: The outcome codes of requests, a list.
+      memory_events: Tuples of an event's name and its main values, a list.
     """
 
     def __init__(self):
-        """Create without lines."""
+        """Create the journal without entries."""
         self.ends = []
-        self.memory = []
+        self.memory_events = []
 
     def log_request(self, job):
         """See ForwardJournal."""
@@ -246,16 +246,16 @@
 
     def log_set_aside(self, request_id, helpers, refused, took_ms):
         """See ForwardJournal."""
-        refused_tickets = [one.ticket for one in refused]
-        self.memory.append(('set aside', refused_tickets, took_ms))
+        refused_tickets = [helper.ticket for helper in refused]
+        self.memory_events.append(('reservation', refused_tickets, took_ms))
 
     def log_order_unanswered(self, name, request_id, helper):
         """See ForwardJournal."""
-        self.memory.append(('unanswered', name, helper.ticket))
+        self.memory_events.append(('unanswered', name, helper.ticket))
 
     def log_released(self, request_id, helper, tries):
         """See ForwardJournal."""
-        self.memory.append(('released', helper.ticket, tries))
+        self.memory_events.append(('released', helper.ticket, tries))
 
     def log_end(self, flow, outcome, code):
         """See ForwardJournal."""
@@ -263,12 +263,13 @@
 
 
 class FirstChooser(Chooser):
-    """Chooses the first server that may be asked.
+    """Chooses the first usable server.
 
     Attributes:
-      helpers: Helpers of the next placements, a tuple.
-      freed: Placements that ended, a list.
-      allowed_ms: How long servers may be silent, or None for ever.
+      helpers: The Helpers of the next placements, a tuple.
+      freed: The placements that ended, a list.
+      allowed_ms: How long servers may be silent, in milliseconds, or None for
+        no limit.
     """
 
     def __init__(self, parts):
@@ -280,10 +281,10 @@
 
     def choose(self, job, avoided):
         """See Chooser."""
-        members = self.usable(avoided)
-        if not members:
+        usable = self.usable(avoided)
+        if not usable:
             return self.refuse()
-        return Placement(members[0], helpers=self.helpers)
+        return Placement(usable[0], helpers=self.helpers)
 
     def silent_until_ms(self, job, attempt):
         """See Chooser."""
@@ -297,25 +298,25 @@
 
 
 class ForwardWorld:
-    """A desk with fakes around it.
+    """A ForwardDesk whose ports are fakes.
 
     Attributes:
       timers: ManualTimers.
       port: A FakePort.
       reservations: A FakeReservations.
-      reservation_desk: The ReservationDesk that gives it orders.
+      reservation_desk: The ReservationDesk that uses these reservations.
       chooser: A FirstChooser.
       crashes: The CrashLedger.
       desk: The ForwardDesk.
       journal: A FakeJournal.
-      moved: The Backends that were not at their addresses, a list.
+      moved: The Backends reported as no longer at their addresses, a list.
     """
 
     def __init__(self, servers=3, slack=100):
-        """Create the world.
+        """Create the desk and its fakes.
 
         Args:
-          servers: How many backend servers there are.
+          servers: The number of backend servers.
           slack: The slack of the retry budget.
         """
         self.timers = ManualTimers()
@@ -347,7 +348,7 @@
             note_moved=self.moved.append,
             chooser_of={POOL: self.chooser}.get,
         )
-        limits = RetryLimits(ratio=0, slack=slack, window_ms=_WINDOW_MS)
+        limits = RetryLimits(ratio=0, slack=slack, window_ms=_RETRY_WINDOW_MS)
         self.desk = ForwardDesk(ports, limits)
 
     def submit(self, **fields):
@@ -356,7 +357,7 @@
         Args:
           fields: See make_job.
         Returns:
-          A pair of the flow and its FakeSink.
+          A pair of the ForwardFlow and its FakeSink.
         """
         sink = FakeSink()
         flow = self.desk.submit(make_job(**fields), sink)
@@ -364,10 +365,10 @@
 
 
 def make_backends(count):
-    """Return backends with ids in order, a list.
+    """Return a list of Backends with ascending ids.
 
     Args:
-      count: How many.
+      count: The number of backends.
     """
     return [
         Backend(
@@ -386,10 +387,10 @@
 
 
 def make_figures(**changes):
-    """Return the EngineFigures of a usual engine.
+    """Return the EngineFigures of a typical engine.
 
     Args:
-      changes: Attributes that differ.
+      changes: Attributes that differ from the defaults.
     """
     fields = {
         'slots': 8,
@@ -412,26 +413,26 @@
 
 
 def make_parts(timers, members, news=None):
-    """Return ChooserParts.
+    """Return ChooserParts with fixed random choices.
 
     Args:
       timers: ManualTimers.
       members: A function that returns Backends.
-      news: What is told of sent work, or None.
+      news: A function that is notified of sent work, or None.
     """
-    tickets = iter(range(1000))
+    ticket_numbers = iter(range(1000))
     return ChooserParts(
-        pool=PoolConfig(POOL, _CONNECTIONS, make_figures()),
+        pool=PoolConfig(POOL, _MAX_CONNECTIONS, make_figures()),
         members=members,
         timers=timers,
-        random=_NoChance(),
+        random=_FixedRandom(),
         board=EngineBoard(timers.clock.now_ms),
         news=news or _ignore,
         heard_ms_ago=_ignore,
-        hints=ReturnHints(_NoChance()),
+        hints=ReturnHints(_FixedRandom()),
         data_centre='',
         is_connected=_ignore,
-        new_ticket=lambda: f'ticket-{next(tickets)}',
+        new_ticket=lambda: f'ticket-{next(ticket_numbers)}',
         turns=LimitDesk(timers, 'entry-0', 'boot').turns,
     )
 
@@ -440,7 +441,7 @@
     """Return a ForwardJob.
 
     Args:
-      changes: Attributes that differ.
+      changes: Attributes that differ from the defaults.
     """
     fields = {
         'account': None,
@@ -458,30 +459,30 @@
         'repeat': Repeat.AGAIN,
         'request_id': 'r1',
         'resume_after': None,
-        'size': _USUAL_SIZE,
+        'size': _DEFAULT_SIZE,
     }
     fields.update(changes)
     return ForwardJob(**fields)
 
 
-class _NoChance:
-    """Stands in for chance: nothing is shuffled, the first is chosen."""
+class _FixedRandom:
+    """A deterministic replacement for random.Random."""
 
     def shuffle(self, _choices):
-        """Leave the order as it is."""
+        """Keep the order."""
 
     def choice(self, choices):
-        """Return the first."""
+        """Return the first choice."""
         return choices[0]
 
     def randrange(self, _stop):
-        """Return the first number."""
+        """Return zero."""
         return 0
 
     def uniform(self, low, high):
-        """Return the middle."""
+        """Return the middle of the range."""
         return (low + high) / 2
 
 
 def _ignore(*_args):
-    """Take news that nobody waits for."""
+    """Ignore a notification, or return None for an unknown value."""
