--- a/crankchute/core/fakes.py
+++ b/crankchute/core/fakes.py
@@ -1,4 +1,4 @@
-"""Small fakes of the core's ports, for tests, measurements and embedders."""
+"""Fakes of the core's ports, for tests, benchmarks and embedders."""
 
 import orjson
 
@@ -9,16 +9,16 @@
 from crankchute.ports.engines import EnginePort, RequestSink, SegmentExport
 from crankchute.ports.time import Clock, TimerService
 
-_MEMORY = 400_000
-_RATE = 130
-_STRANGER = 'stranger'
+_MEMORY_TOKENS = 400_000
+_PREFILL_RATE = 130
+_OTHER_REQUEST_ID = 'other-request'
 
 
 class ManualClock(Clock):
-    """A clock that moves only when it is told to.
+    """A clock that is advanced by hand.
 
     Attributes:
-      time_ms: The time, which may be set forward.
+      time_ms: The current time, in milliseconds; it may be set forward.
     """
 
     def __init__(self):
@@ -31,7 +31,7 @@
 
 
 class ManualTimers(TimerService):
-    """A timer service in virtual time: one seed gives one run."""
+    """A deterministic timer service in virtual time."""
 
     def __init__(self):
         """Create the service at time zero."""
@@ -49,7 +49,7 @@
         return self._heap.subscribe(due_ms, callback)
 
     def advance(self, delay_ms):
-        """Let time pass and run what comes due, in order.
+        """Advance the time and run the timers that come due, in order.
 
         Args:
           delay_ms: Milliseconds.
@@ -63,7 +63,7 @@
         self._clock.time_ms = end_ms
 
     def jump(self, delay_ms):
-        """Let time pass as in a paused process: nothing runs meanwhile.
+        """Advance the time without running timers, as in a suspended process.
 
         Args:
           delay_ms: Milliseconds.
@@ -72,15 +72,15 @@
 
 
 class FakeGeneration:
-    """An order to generate that waits for a test to answer it.
+    """A generate order that the test answers.
 
     Attributes:
       listener: The EngineListener.
-      sent: How many frames were sent, an int.
+      sent: The number of frames sent, an int.
     """
 
     def __init__(self, engines, order, listener):
-        """Create the record.
+        """Create the generation.
 
         Args:
           engines: The FakeEngines.
@@ -89,12 +89,12 @@
         """
         self._engines = engines
         self._order = order
-        self._next = order.offset
+        self._next_offset = order.offset
         self.listener = listener
         self.sent = 0
 
     def cancel(self):
-        """Give the order up."""
+        """Cancel the order."""
         if self in self._engines.generating:
             self._engines.generating.remove(self)
 
@@ -102,25 +102,28 @@
         """Send a frame.
 
         Args:
-          event: "next", "again", "skip" or "cross" for a token, "end" for a
-            true end mark, "early" for one that comes too early.
+          event: "next" for the next token, "again" for a repeated one, "skip"
+            for one after a gap, "cross" for one of another request, "end" for
+            a correct end mark, or "early" for a premature one.
         """
         self.sent += 1
         order = self._order
         if event in {'end', 'early'}:
-            count = order.max_tokens if event == 'end' else self._next + 1
+            count = (
+                order.max_tokens if event == 'end' else self._next_offset + 1
+            )
             self._deliver(order.request_id, order.max_tokens, [], count)
             return
         shift = {'again': -1, 'skip': 1}.get(event, 0)
-        name = _STRANGER if event == 'cross' else order.request_id
-        offset = max(self._next + shift, 0)
+        request_id = _OTHER_REQUEST_ID if event == 'cross' else order.request_id
+        offset = max(self._next_offset + shift, 0)
         if offset < order.max_tokens:
-            self._next = max(self._next, offset + 1)
-            self._deliver(name, offset, [f'{name}-{offset}'], None)
+            self._next_offset = max(self._next_offset, offset + 1)
+            self._deliver(request_id, offset, [f'{request_id}-{offset}'], None)
 
-    def _deliver(self, name, offset, tokens, count):
+    def _deliver(self, request_id, offset, tokens, count):
         frame = Frame(
-            name,
+            request_id,
             self._order.attempt,
             'boot',
             offset=offset,
@@ -131,18 +134,19 @@
 
 
 class FakeEngines(EnginePort):
-    """Keeps every call until a test answers it.
+    """Records every call until the test answers it.
 
     Attributes:
-      generating: FakeGenerations that have not ended.
-      asked: Functions of a bool that answer a hold or a segment.
-      held: Pairs of engine id and group that hold memory.
-      lost_releases: How many of the next releases never arrive, an int.
-      is_listening: Whether somebody listens where it is asked for, or None.
+      generating: The FakeGenerations that have not ended, a list.
+      asked: Functions of a bool that answer a hold or prefill order, a list.
+      held: Pairs of engine id and group for which memory is held, a set.
+      lost_releases: How many of the next releases are lost, an int.
+      is_listening: Whether engines' processes still listen, or None if that is
+        unknown.
     """
 
     def __init__(self):
-        """Create without calls."""
+        """Create the port without calls."""
         self.generating = []
         self.asked = []
         self.held = set()
@@ -189,22 +193,22 @@
         return self
 
     def cancel(self):
-        """Give a segment up; its answer may still come."""
+        """Cancel a prefill order; its answer may still arrive."""
 
 
 class RecordingSink(RequestSink):
-    """Keeps what a caller would get.
+    """Records what a caller would receive.
 
     Attributes:
       job: The Job.
       tokens: The tokens, a list.
-      ends: How many ends were told, an int.
-      count: The count of a whole answer, or None.
+      ends: The number of ends reported, an int.
+      count: The number of tokens reported at a regular end, or None.
       refusal: The Refusal, or None.
-      first_ms: When the first token came, or None.
-      ended_ms: When the end came, or None.
-      is_late: Whether a token came after the deadline.
-      gone: Whether the caller went away, for a test to set.
+      first_ms: When the first token arrived, or None.
+      ended_ms: When the request ended, or None.
+      is_late: Whether a token arrived after the deadline, a bool.
+      gone: Whether the caller disconnected, a bool set by the test.
     """
 
     def __init__(self, job, clock):
@@ -249,10 +253,10 @@
 
 
 def make_documents(**changes):
-    """Return documents of a small configuration.
+    """Return the documents of a small configuration, encoded as JSON.
 
     Args:
-      changes: Whole documents that take the place of the usual ones.
+      changes: Documents that replace the default ones.
     """
     documents = {
         'models': [{'name': 'small', 'version': 'v1'}],
@@ -269,11 +273,13 @@
         'accounts': [{'name': 'acc', 'width': 1}],
         **changes,
     }
-    return {key: orjson.dumps(one) for key, one in documents.items()}
+    return {
+        name: orjson.dumps(document) for name, document in documents.items()
+    }
 
 
 def make_listed(identity, kind='engine', data_centre='dc-1'):
-    """Return a record of the instance list."""
+    """Return an entry of the instance list."""
     return Listed(
         {
             'id': identity,
@@ -288,16 +294,16 @@
     """Return a load report of an idle engine.
 
     Args:
-      now_ms: When it came.
-      changes: What differs from an idle engine.
+      now_ms: When the report arrived, in milliseconds.
+      changes: Fields that differ from the defaults.
     """
     document = {
         'boot': 'boot',
         'queued_tokens': 0,
         'running': 0,
-        'memory_free': _MEMORY,
-        'memory_total': _MEMORY,
-        'prefill_rate': _RATE,
+        'memory_free': _MEMORY_TOKENS,
+        'memory_total': _MEMORY_TOKENS,
+        'prefill_rate': _PREFILL_RATE,
         'models': {'small': 'v1'},
         'leaving': False,
         **changes,
@@ -309,7 +315,7 @@
     """Return a Job of the small configuration.
 
     Args:
-      changes: What differs from a short prompt that has a minute.
+      changes: Fields that differ from the defaults.
     """
     fields = {
         'request_id': 'r0',
