--- a/crankchute/core/lease_machine_test.py
+++ b/crankchute/core/lease_machine_test.py
@@ -134,7 +134,9 @@
         if request.ended_ms is None and self._is_abandoned(request):
             self._end(request)
         held = [
-            ticket for ticket in request.tickets if self.port.is_held(ticket)
+            held_ticket
+            for held_ticket in request.tickets
+            if self.port.is_held(held_ticket)
         ]
         for ticket in request.tickets:
             self._check_unused(request, ticket, is_held=ticket in held)
