--- a/crankchute/core/group_flow.py
+++ b/crankchute/core/group_flow.py
@@ -107,7 +107,7 @@
         return True
 
     def on_attempt_not_run(self, attempt, rejection):
-        """Replace a lost member, or restart with a new group if none is lost."""
+        """Replace a lost member, or restart if no member is lost."""
         self.attempt = None
         self._desk.note_attempt_end(self, attempt, rejection.code)
         self._desk.metrics.count('engine_refusals', rejection.code)
--- a/crankchute/core/lease_machine_test.py
+++ b/crankchute/core/lease_machine_test.py
@@ -171,7 +171,7 @@
         return is_expired and not request.is_used
 
     def _is_settled(self, ended_ms):
-        """Tell whether memory must be free: all late orders arrived long ago."""
+        """Tell whether all memory must be free by now."""
         if self.port.delay_ms != _NORMAL_DELAY_MS:
             return False
         since_ms = max(self.late_until_ms, ended_ms)
--- a/crankchute/core/reservations.py
+++ b/crankchute/core/reservations.py
@@ -154,7 +154,7 @@
 
 
 class ReservationDesk:
-    """Makes the reservations of one instance.
+    """Manages the reservations of one instance.
 
     Attributes:
       port: A ReservationPort.
