--- a/crankchute/core/choosers.py
+++ b/crankchute/core/choosers.py
@@ -1,4 +1,4 @@
-"""Choosing the server of a plain service's next request."""
+"""Load balancing over the backend servers of a pool."""
 
 import abc
 
@@ -6,44 +6,44 @@
 from crankchute.core.outcomes import refuse_not_run
 from crankchute.core.registry import Registry
 
-#: Choosers by name: classes whose instances are made from ChooserParts.
+#: Chooser classes by name; each takes ChooserParts.
 choosers = Registry()
-#: The name of the chooser of plain services.
+#: The default chooser of plain services.
 LEAST_BUSY = 'least-busy'
 
-#: The code of a refusal since no server wants a request of this instance now.
+#: Refusal code: no server accepts requests from this instance at the moment.
 NOT_WANTED = 'servers_rest'
-#: A server of a plain service is asked anew elsewhere after this many times
-#: the time within which an answer has its full worth.
-_SILENCE_FACTOR = 3
-_LEAST_SILENCE_MS = 800
-#: A server that fails every request counts as busy with so many more.
-_FAILURE_LOAD = 5
-#: What opening a connection counts, in requests: little, so that only servers
-#: that are alike are told apart by it.
-_CONNECT_LOAD = 0.5
+#: The response timeout of an idempotent request, in multiples of its latency
+#: goal.
+_RESPONSE_TIMEOUT_FACTOR = 3
+_MIN_RESPONSE_TIMEOUT_MS = 800
+#: Extra load, in requests, of a server that fails every request.
+_FAILURE_PENALTY = 5
+#: Cost of opening a connection, in requests.  Below 1, so that it only breaks
+#: ties.
+_CONNECTION_COST = 0.5
 
 
 class ChooserParts:
-    """What choosers decide by.
+    """Dependencies of a chooser.
 
     Attributes:
       pool: The PoolConfig.
-      members: A function that returns the Backends of the pool that may get
+      members: A function that returns the Backends of the pool that accept
         new requests.
       timers: A TimerService.
       random: A random.Random.
       board: The EngineBoard.
-      news: A function of a Change and a Work, told of what this instance
-        sends.
-      new_ticket: A function that returns the id of a new ticket.
-      data_centre: Where this instance runs.
-      hints: The ReturnHints for callers that are refused.
-      is_connected: A function of a Backend that tells whether a connection
-        to it is open and rests.
-      turns: The LimitTurns.
-      heard_ms_ago: A function that returns how long ago another instance was
-        last heard from, in milliseconds or None.
+      news: A function of a Change and a Work that announces this instance's
+        work to other instances.
+      new_ticket: A function that returns the id of a new memory reservation.
+      data_centre: The data centre of this instance.
+      hints: The ReturnHints for refused callers.
+      is_connected: A function of a Backend that returns whether an idle
+        connection to it is open.
+      turns: The LimitTurns, this instance's part of the servers' rate limits.
+      heard_ms_ago: A function that returns the time since the last message
+        from another instance, in milliseconds, or None.
     """
 
     __slots__ = (
@@ -62,7 +62,7 @@
     )
 
     def __init__(self, **fields):
-        """Gather the parts.
+        """Set all attributes.
 
         Args:
           fields: A value for each attribute.
@@ -72,7 +72,7 @@
 
 
 class Chooser(abc.ABC):
-    """Chooses servers for the requests of one pool."""
+    """Base class of the load balancers of one pool."""
 
     def __init__(self, parts):
         """Create the chooser.
@@ -83,19 +83,20 @@
         self._parts = parts
 
     def now_ms(self):
-        """Return the time on this process's clock."""
+        """Return the time of this process's clock, in milliseconds."""
         return self._parts.timers.clock.now_ms()
 
     def usable(self, avoided, members=None):
-        """Return the servers that may be asked now.
+        """Return the servers that accept a request now.
 
-        Servers that failed lately are left alone while others are left.  Those
-        that want rest, or take no more of this instance now, are left alone in
-        any case: they have nothing to do, and would be chosen before all others.
+        Servers with an open circuit breaker are returned only if there are no
+        others.  Servers that asked for a pause, or whose rate limit this
+        instance has used up, are always excluded: idle as they are, they would
+        be preferred over all others.
 
         Args:
-          avoided: Ids of servers that must not be asked.
-          members: The Backends to look at, or None for all of the pool.
+          avoided: Ids of servers to exclude.
+          members: The Backends to consider; None for the whole pool.
         Returns:
           A list of Backend.
         """
@@ -103,30 +104,32 @@
             members = self._parts.members()
         now_ms = self.now_ms()
         has_turn = self._parts.turns.has_turn
-        awake = [
-            one
-            for one in self._list_awake(members, avoided)
-            if has_turn(one.identity)
+        available = [
+            backend
+            for backend in self._list_available(members, avoided)
+            if has_turn(backend.identity)
         ]
-        return [one for one in awake if one.breaker.allows(now_ms)] or awake
+        return [
+            backend for backend in available if backend.breaker.allows(now_ms)
+        ] or available
 
-    def list_used_up(self, avoided):
-        """Return the ids of servers that only lack a turn of this instance.
+    def list_without_turn(self, avoided):
+        """Return the ids of servers excluded only by their rate limit.
 
         Args:
-          avoided: Ids of servers that must not be asked.
+          avoided: Ids of servers to exclude.
         Returns:
           A list.
         """
         has_turn = self._parts.turns.has_turn
         return [
-            one.identity
-            for one in self._list_awake(self._parts.members(), avoided)
-            if not has_turn(one.identity)
+            backend.identity
+            for backend in self._list_available(self._parts.members(), avoided)
+            if not has_turn(backend.identity)
         ]
 
-    def choose_only(self, job, server):
-        """Choose for a job that may be sent to one server only.
+    def choose_on_server(self, job, server):
+        """Place a job on a given server.
 
         Args:
           job: A ForwardJob.
@@ -134,35 +137,35 @@
         Returns:
           A Placement, or a Refusal.
         """
-        members = {one.identity for one in self._parts.members()}
+        members = {backend.identity for backend in self._parts.members()}
         return self.choose(job, members - {server})
 
     def list_busy(self):
-        """Return the ids of the servers that work for anybody, a set.
+        """Return the ids of the servers with requests in progress, a set.
 
-        What other instances sent is known of engines only.
+        Requests of other instances are known for engines only.
         """
         board = self._parts.board
         return {
-            one.identity
-            for one in self._parts.members()
-            if one.in_flight or (board and board.has_work(one.identity))
+            backend.identity
+            for backend in self._parts.members()
+            if backend.in_flight or (board and board.has_work(backend.identity))
         }
 
     @abc.abstractmethod
     def choose(self, job, avoided):
-        """Choose where a request runs.
+        """Choose the server of a request.
 
         Args:
           job: A ForwardJob.
-          avoided: Ids of servers that must not be asked.
+          avoided: Ids of servers to exclude.
         Returns:
           A Placement, or a Refusal.
         """
 
     @abc.abstractmethod
     def silent_until_ms(self, job, attempt):
-        """Return until when a server may be silent, or None for ever.
+        """Return the deadline of a server's next event, or None if unlimited.
 
         Args:
           job: A ForwardJob.
@@ -170,7 +173,7 @@
         """
 
     def overdue_at_ms(self, job, attempt):
-        """Return when an attempt without any answer is a sign of a fault.
+        """Return when a missing response counts as a sign of a fault.
 
         Args:
           job: A ForwardJob.
@@ -179,16 +182,16 @@
         return attempt.heard_ms + job.goal_ms
 
     def note_sent(self, job, placement):
-        """Note that a job is about to be sent where it was placed."""
+        """Record that a job is about to be sent to its placement."""
 
     def note_first(self, job, placement):
-        """Note that a job led to its first event there."""
+        """Record the first event of a job."""
 
     def note_pace(self, placement, seen_ms):
-        """Note how long the first event of a placement took."""
+        """Record the latency of the first event of a placement."""
 
     def note_load(self, backend, load):
-        """Note what a server told of its load.
+        """Record the load that a server stated in a response.
 
         Args:
           backend: A Backend.
@@ -196,46 +199,49 @@
         """
 
     def note_report(self, backend, load):
-        """Note what a server reported when it was asked; see note_load."""
+        """Record a load report that was polled from a server."""
 
     def note_end(self, job, placement):
-        """Note that a job ended there."""
+        """Record the end of a job."""
 
     def refuse(self):
-        """Return the Refusal given when no server may be asked.
+        """Return the Refusal of a request for which there is no server.
 
-        Where all want rest, or take no more now, it is known when the first of
-        them takes requests again.
+        It has a retry hint if every server is pausing or rate limited, since
+        the earliest end of that is known.
         """
-        first_ms = min(map(self._wait_ms, self._parts.members()), default=0)
+        first_ms = min(
+            map(self._retry_delay_ms, self._parts.members()), default=0
+        )
         if first_ms > 0:
             return refuse_not_run(
                 NOT_WANTED,
-                'no backend server of the pool wants a request now',
+                'all backend servers of the pool are pausing or rate limited',
                 self._parts.hints.choose_after_ms(first_ms),
             )
         return refuse_not_run(
             'no_backend',
-            'no backend server of the pool takes requests now',
+            'no backend server of the pool is available',
         )
 
-    def _list_awake(self, members, avoided):
+    def _list_available(self, members, avoided):
         now_ms = self.now_ms()
         return [
-            one
-            for one in members
-            if now_ms >= one.refused_until_ms and one.identity not in avoided
+            backend
+            for backend in members
+            if now_ms >= backend.refused_until_ms
+            and backend.identity not in avoided
         ]
 
-    def _wait_ms(self, backend):
-        """Return after how long a server wants requests of this instance."""
-        rest_ms = backend.refused_until_ms - self.now_ms()
-        return max(rest_ms, self._parts.turns.wait_ms(backend.identity))
+    def _retry_delay_ms(self, backend):
+        """Return the time until a server accepts requests of this instance."""
+        pause_ms = backend.refused_until_ms - self.now_ms()
+        return max(pause_ms, self._parts.turns.wait_ms(backend.identity))
 
 
 @choosers.register(LEAST_BUSY)
 class LeastBusyChooser(Chooser):
-    """Asks the server with the fewest requests of this instance."""
+    """Chooses the server with the fewest requests of this instance in flight."""
 
     def choose(self, job, avoided):
         """See Chooser."""
@@ -246,23 +252,25 @@
         return Placement(min(members, key=self._load))
 
     def silent_until_ms(self, job, attempt):
-        """See Chooser; what may start once is waited for to the end."""
+        """See Chooser; requests that must not be repeated have no timeout."""
         if job.repeat != Repeat.AGAIN:
             return None
-        allowed_ms = max(job.goal_ms * _SILENCE_FACTOR, _LEAST_SILENCE_MS)
+        allowed_ms = max(
+            job.goal_ms * _RESPONSE_TIMEOUT_FACTOR, _MIN_RESPONSE_TIMEOUT_MS
+        )
         return attempt.heard_ms + allowed_ms
 
     def _load(self, backend):
         chance = backend.suspicion.chance(self.now_ms())
-        load = backend.in_flight + chance * _FAILURE_LOAD
+        load = backend.in_flight + chance * _FAILURE_PENALTY
         if not self._parts.is_connected(backend):
-            load += _CONNECT_LOAD
+            load += _CONNECTION_COST
         return load
 
 
 @choosers.register('random')
 class RandomChooser(LeastBusyChooser):
-    """Asks any server; a baseline."""
+    """Chooses a random server; a baseline for comparisons."""
 
     def choose(self, job, avoided):
         """See Chooser."""
--- a/crankchute/core/choosers_test.py
+++ b/crankchute/core/choosers_test.py
@@ -1,4 +1,4 @@
-"""Tests of the choice of servers of plain services."""
+"""Tests of load balancing over the servers of plain services."""
 
 import random
 from collections import Counter
@@ -22,21 +22,21 @@
     ('in_flight', 'connected', 'chosen'),
     [
         ((0, 0, 0), {'server-01'}, {'server-01'}),
-        # A request more is worth a connection.
+        # A new connection costs less than one more request.
         ((0, 1, 0), {'server-01'}, {'server-00', 'server-02'}),
         ((1, 1, 1), {'server-02'}, {'server-02'}),
         ((0, 0, 0), (), {'server-00', 'server-01', 'server-02'}),
     ],
 )
-def test_idle_connections_are_used_again(in_flight, connected, chosen):
+def test_idle_connections_are_reused(in_flight, connected, chosen):
     backends = make_backends(3)
-    for backend, number in zip(backends, in_flight, strict=True):
-        backend.in_flight = number
+    for backend, count in zip(backends, in_flight, strict=True):
+        backend.in_flight = count
     chooser = make_chooser(backends, connected)
-    found = Counter(
+    counts = Counter(
         chooser.choose(make_job(), set()).backend.identity for _ in range(60)
     )
-    assert set(found) == chosen
+    assert set(counts) == chosen
 
 
 @pytest.mark.parametrize(
@@ -49,8 +49,8 @@
         ((900, 700, 800), (), None),
     ],
 )
-def test_servers_that_want_rest_are_left_alone(until_ms, avoided, chosen):
-    """Also if all others have failed lately, and no longer than they want."""
+def test_pausing_servers_are_excluded(until_ms, avoided, chosen):
+    """Even if all others have open breakers, and only until the pause ends."""
     backends = make_backends(3)
     chooser = make_chooser(backends, ())
     chooser._parts.timers.advance(500)
@@ -60,13 +60,13 @@
             backend.breaker.trip(500)
     choices = [chooser.choose(make_job(), avoided) for _ in range(60)]
     if chosen is None:
-        assert {one.outcome for one in choices} == {Outcome.NOT_RUN}
+        assert {choice.outcome for choice in choices} == {Outcome.NOT_RUN}
     else:
-        assert {one.backend.identity for one in choices} == chosen
+        assert {choice.backend.identity for choice in choices} == chosen
 
 
-def test_first_end_of_a_rest_is_hinted():
-    """Nobody comes before it, and not all at the same time."""
+def test_retry_hint_is_the_earliest_end_of_a_pause():
+    """Retries start no earlier than that, and are spread out."""
     backends = make_backends(3)
     chooser = make_chooser(backends, ())
     for backend, end_ms in zip(backends, (9000, 2000, 5000), strict=True):
@@ -76,5 +76,5 @@
     assert 2000 <= refusal.retry_after_ms <= 2500
     backends[2].refused_until_ms = 0
     refusal = chooser.choose(make_job(), {'server-02'})
-    # The one that failed the request may be back sooner.
+    # A server excluded after a failure may accept requests sooner.
     assert (refusal.code, refusal.retry_after_ms) == ('no_backend', None)
--- a/crankchute/core/request_placing.py
+++ b/crankchute/core/request_placing.py
@@ -28,7 +28,7 @@
     def take(server):
         lent = None
         if server is not None and not flow.ended:
-            lent = chooser.choose_only(flow.job, server)
+            lent = chooser.choose_on_server(flow.job, server)
         if isinstance(lent, Placement):
             chooser.note_sent(flow.job, lent)
             on_choice(lent)
@@ -36,5 +36,5 @@
             desk.lending.give_back(server)
             on_choice(choice)
 
-    if not desk.lending.borrow(chooser.list_used_up(avoided), take):
+    if not desk.lending.borrow(chooser.list_without_turn(avoided), take):
         on_choice(choice)
--- a/crankchute/core/request_placing_test.py
+++ b/crankchute/core/request_placing_test.py
@@ -11,10 +11,10 @@
 class World:
     """A desk, its chooser and its lending, and the flow that asks."""
 
-    def __init__(self, choice, lent, used_up=('i-1', 'i-2')):
+    def __init__(self, choice, lent, without_turn=('i-1', 'i-2')):
         self.choice = choice
         self.lent = lent
-        self.used_up = list(used_up)
+        self.without_turn = list(without_turn)
         self.asked = []
         self.returned = []
         self.sent = []
@@ -31,10 +31,10 @@
     def chooser_of(self, _pool):
         return self
 
-    def list_used_up(self, _avoided):
-        return self.used_up
+    def list_without_turn(self, _avoided):
+        return self.without_turn
 
-    def choose_only(self, _job, server):
+    def choose_on_server(self, _job, server):
         self.chosen.append(server)
         return self.lent
 
@@ -68,7 +68,7 @@
 
 
 def test_refusal_stands_at_once_where_nobody_has_turns():
-    world = World(NO_TURN, OTHER, used_up=())
+    world = World(NO_TURN, OTHER, without_turn=())
     seen = []
     place_request(world, world, set(), seen.append)
     assert seen == [NO_TURN]
