--- a/bench/ablations.py
+++ b/bench/ablations.py
@@ -143,8 +143,8 @@
 _leave_out(
     'slowness',
     f'{_CORE}/engine_board.py',
-    'return 1 + (self._slowness - 1) * faded',
-    'return 1 + 0 * faded',
+    'return 1 + (self._slowness - 1) * decay',
+    'return 1 + 0 * decay',
 )
 _leave_out(
     'breaker',
--- a/crankchute/core/engine_board.py
+++ b/crankchute/core/engine_board.py
@@ -1,10 +1,9 @@
-"""What every engine is believed to be working on.
+"""Estimates of the work in progress at every engine.
 
-An instance knows its own requests exactly and those of others from the news
-they send.  Reports of engines are some hundred milliseconds old, longer than
-a short prompt takes, so decisions go by this board.  It decides only
-efficiency: a wrong entry makes a worse choice and nothing else, and every
-entry ends with its request's deadline.
+An instance knows its own requests exactly and those of other instances from
+their updates.  Load reports of engines are older than a short prompt takes,
+so scheduling uses these estimates instead.  A wrong entry costs efficiency,
+never correctness, and expires at the deadline of its request.
 """
 
 import enum
@@ -13,21 +12,20 @@
 from crankchute.core.length_demand import LengthDemand
 from crankchute.core.seen_load import UnknownLoad
 
-
-#: How long a pass of an engine with writers usually takes, in milliseconds;
-#: only used to mark who is late already.
-_USUAL_PASS_MS = 50
-#: A first event this much later than predicted is a sign of a slow engine;
-#: the 90th percentile of usual ones is 1.3 (docs/MEASUREMENTS.md).
-_SLOW_RATIO = 1.8
-_SLOWEST = 10
-_SLOW_WEIGHT = 0.5
-#: After this long half of a slowness that was seen has faded.
-_SLOW_HALF_MS = 3000
+#: Typical duration of a scheduler pass with decoding requests, in
+#: milliseconds; used only to mark delayed requests.
+_TYPICAL_PASS_MS = 50
+#: Ratio of the observed to the predicted time to the first event from which
+#: an engine counts as slow; above the variation of healthy engines.
+_SLOW_THRESHOLD = 1.8
+_MAX_SLOWNESS = 10
+_SLOWNESS_WEIGHT = 0.5
+#: The half-life of an observed slowness.
+_SLOWNESS_HALF_LIFE_MS = 3000
 
 
 class Change(enum.IntEnum):
-    """What happened to a piece of work."""
+    """A state change of a piece of work."""
 
     SENT = 0
     STARTED = 1
@@ -35,25 +33,25 @@
 
 
 class Work:
-    """One prompt, or a part of one, at one engine.
+    """A prompt, or one engine's part of a shared prompt.
 
     Attributes:
-      key: The request and the engine, a string that is unique in the fleet.
+      key: A string that is unique to the attempt across the fleet.
       engine: The engine's id.
       origin: The id of the instance that sent it, or None if this one did.
-      read_ms: How long reading it takes there.
-      memory: How many tokens of KV memory it needs there.
-      is_writer: Whether the engine writes the answer too, a bool.
-      gap_ms: The longest pause between its events of full worth.
-      weight: What its full worth is, of the order of one for a short prompt.
-      until_ms: When it must have ended, on this process's clock.
-      due_ms: When the prompt's first event must come for its full worth.
-      first_at_ms: When that is predicted to come.
-      goes_first: Whether it is read before what waits already, as parts of a
-        prompt that several engines read are, a bool.
-      sent_ms: When this instance put it on its board, or None.
-      started: Whether its first event was seen, a bool.
-      is_delayed: Whether a pause beyond gap_ms is to be expected, a bool.
+      read_ms: The predicted prefill time.
+      memory: KV memory that it needs, in tokens.
+      is_writer: Whether the engine also decodes the answer, a bool.
+      gap_ms: The goal for the time between its events.
+      weight: Its value if on time, relative to that of a usual prompt.
+      until_ms: The deadline of the request, on this process's clock.
+      due_ms: The goal for the time of the first event.
+      first_at_ms: The predicted time of the first event.
+      goes_first: Whether its prefill runs before those that wait, as for a
+        prompt shared by several engines, a bool.
+      sent_ms: When this instance recorded it, or None.
+      started: Whether its first event has arrived, a bool.
+      is_delayed: Whether a gap beyond gap_ms is expected, a bool.
     """
 
     __slots__ = (
@@ -75,13 +73,12 @@
     )
 
     def __init__(self, key, engine, **fields):
-        """Create the record of work that was just sent.
+        """Create the record of newly sent work.
 
         Args:
           key: See the class.
           engine: See the class.
-          fields: A value for each other attribute but the origin, the
-            moment it was sent and the last two.
+          fields: Values for the attributes from read_ms to goes_first.
         """
         self.key = key
         self.engine = engine
@@ -101,17 +98,19 @@
 
 
 class EngineState:
-    """The work at one engine.
+    """The estimated state of one engine.
 
     Attributes:
       works: A map from key to Work.
-      read_until_ms: When it has read all that was sent, as predicted.
+      read_until_ms: The predicted end of all prefills sent so far.
+      memory: KV memory of the works, in tokens.
+      writers: The number of works that the engine decodes.
     """
 
     __slots__ = (
-        '_slow_ms',
         '_slowness',
-        '_unknown',
+        '_slowness_at_ms',
+        '_unreported',
         'memory',
         'read_until_ms',
         'works',
@@ -123,72 +122,73 @@
         self.works = {}
         self.read_until_ms = float(0)
         self._slowness = float(1)
-        self._slow_ms = float(0)
-        self._unknown = UnknownLoad()
+        self._slowness_at_ms = float(0)
+        self._unreported = UnknownLoad()
         self.memory = 0
         self.writers = 0
 
     def slowness(self, now_ms):
-        """Return how much slower than published the engine seems to be.
+        """Return the estimated ratio of actual to published durations.
 
-        What was seen fades, so that an engine that nobody asks any more is
+        The estimate decays towards 1, so that an engine without traffic is
         tried again.
 
         Args:
           now_ms: The time.
         """
-        age_ms = now_ms - self._slow_ms
-        faded = 0.5 ** (age_ms / _SLOW_HALF_MS)
-        return 1 + (self._slowness - 1) * faded
+        age_ms = now_ms - self._slowness_at_ms
+        decay = 0.5 ** (age_ms / _SLOWNESS_HALF_LIFE_MS)
+        return 1 + (self._slowness - 1) * decay
 
     def note_pace(self, ratio, now_ms):
-        """Note how long a first event took, against the prediction.
+        """Update the slowness from the latency of a first event.
 
         Args:
-          ratio: Seen by predicted; what is usual changes nothing.
+          ratio: Observed by predicted latency; values in the normal range
+            are ignored unless the engine is slow.
           now_ms: The time.
         """
-        before = self.slowness(now_ms)
-        if ratio < _SLOW_RATIO and before < _SLOW_RATIO:
+        previous = self.slowness(now_ms)
+        if ratio < _SLOW_THRESHOLD and previous < _SLOW_THRESHOLD:
             return
-        seen = min(max(ratio * before, 1), _SLOWEST)
-        self._slowness = before + _SLOW_WEIGHT * (seen - before)
-        self._slow_ms = now_ms
+        seen = min(max(ratio * previous, 1), _MAX_SLOWNESS)
+        self._slowness = previous + _SLOWNESS_WEIGHT * (seen - previous)
+        self._slowness_at_ms = now_ms
 
     def note_load(self, load, now_ms):
-        """Take what the engine told of its load.
+        """Record a load that the engine stated.
 
         Args:
           load: A SeenLoad.
           now_ms: The time.
         """
-        told_ms = now_ms - load.age_ms
+        stated_at_ms = now_ms - load.age_ms
         known = sum(
-            work.is_writer and work.sent_ms <= told_ms
+            work.is_writer and work.sent_ms <= stated_at_ms
             for work in self.works.values()
         )
-        self._unknown.note(load, known, now_ms)
+        self._unreported.note(load, known, now_ms)
 
     def count_requests(self, now_ms, usual_ms):
-        """Return how many requests the engine is believed to have.
+        """Return the estimated number of requests at the engine.
 
         Args:
           now_ms: The time.
-          usual_ms: How long a usual request is there.
+          usual_ms: The duration of a usual request.
         Returns:
-          A float; those that nobody told of count in part.
+          A float; requests unknown to all instances count partially.
         """
-        return self.writers + self._unknown.estimate(now_ms, usual_ms)
+        return self.writers + self._unreported.estimate(now_ms, usual_ms)
 
     def wait_ms(self, now_ms):
-        """Return how long a new prompt waits for those being read."""
+        """Return the queueing delay of a new prefill, in milliseconds."""
         return max(self.read_until_ms - now_ms, 0)
 
     def add(self, work, now_ms):
-        """Take work that was sent.
+        """Add newly sent work.
 
         Args:
-          work: A Work; one that is known already changes nothing.
+          work: A Work; ignored if its key is known.
           now_ms: The time.
         """
         if work.key in self.works:
@@ -199,22 +199,22 @@
         self.writers += work.is_writer
         read_ms = work.read_ms * self.slowness(now_ms)
         if work.goes_first:
-            self._put_back(work, read_ms)
-        begin_ms = max(self.read_until_ms, now_ms)
-        self.read_until_ms = begin_ms + read_ms
-        pause_ms = self.read_until_ms - now_ms + _USUAL_PASS_MS
+            self._postpone_waiting(work, read_ms)
+        start_ms = max(self.read_until_ms, now_ms)
+        self.read_until_ms = start_ms + read_ms
+        pause_ms = self.read_until_ms - now_ms + _TYPICAL_PASS_MS
         for other in self.works.values():
             if other.started and pause_ms > other.gap_ms:
                 other.is_delayed = True
 
-    def list_paused(self, pause_ms):
-        """Return the works that a pause of all writers here makes late.
+    def list_delayed_decodes(self, pause_ms):
+        """Return the works that would miss their gap goal by a decode pause.
 
         Args:
-          pause_ms: How long the pause is, in milliseconds.
+          pause_ms: The duration of the pause.
         Returns:
-          A list of Work; without those that are late already.  What waits to
-          be read will write by then, and so is among them.
+          A list of Work without those already delayed.  It includes waiting
+          works, which will be decoding by then.
         """
         return [
             work
@@ -222,13 +222,14 @@
             if work.is_writer and not work.is_delayed and pause_ms > work.gap_ms
         ]
 
-    def list_put_back(self, read_ms):
-        """Return the works whose first event comes late behind a read.
+    def list_delayed_prefills(self, read_ms):
+        """Return the works whose first event a prioritized prefill delays.
 
         Args:
-          read_ms: How long a read takes that goes before all that wait.
+          read_ms: The duration of the prefill that runs before all others.
         Returns:
-          A list of Work; without those that are late already.
+          A list of Work that miss their goal by it, without those already
+          late.
         """
         return [
             work
@@ -238,7 +239,7 @@
         ]
 
     def start(self, key, now_ms):
-        """Note that a prompt was read.
+        """Record the end of a prefill.
 
         Args:
           key: The key of its Work.
@@ -247,10 +248,10 @@
         work = self.works.get(key)
         if work is not None and not work.started:
             work.started = True
-            self._settle(now_ms)
+            self._shorten_wait(now_ms)
 
     def end(self, key, now_ms):
-        """Note that work ended.
+        """Remove work that has ended.
 
         Args:
           key: The key of its Work.
@@ -262,16 +263,16 @@
         self.memory -= work.memory
         self.writers -= work.is_writer
         if not work.started:
-            self._settle(now_ms)
+            self._shorten_wait(now_ms)
 
-    def _put_back(self, first, read_ms):
-        """Let the works that wait come later by a read that goes first."""
+    def _postpone_waiting(self, prioritized, read_ms):
+        """Postpone waiting works by the duration of a prioritized prefill."""
         for work in self.works.values():
-            if not work.started and work is not first:
+            if not work.started and work is not prioritized:
                 work.first_at_ms += read_ms
 
-    def _settle(self, now_ms):
-        """Count as waiting no more than what is still to be read."""
+    def _shorten_wait(self, now_ms):
+        """Limit the predicted wait to the prefills still outstanding."""
         left_ms = sum(
             work.read_ms for work in self.works.values() if not work.started
         )
@@ -280,10 +281,10 @@
 
 
 class EngineBoard:
-    """The states of all engines by id.
+    """The estimated states of all engines, by id.
 
     Attributes:
-      demand: The LengthDemand of the work that was sent.
+      demand: The LengthDemand of all work sent.
     """
 
     def __init__(self, now_ms):
@@ -294,7 +295,7 @@
         """
         self._now_ms = now_ms
         self._states = {}
-        self._ends = []
+        self._expiries = []
         self.demand = LengthDemand()
 
     def state(self, engine):
@@ -310,25 +311,25 @@
         return state
 
     def add(self, work):
-        """Take a Work that was sent, by this instance or another."""
+        """Add a Work sent by this instance or another."""
         now_ms = self._now_ms()
         state = self.state(work.engine)
         if work.key not in state.works:
             self.demand.note(work, now_ms)
         state.add(work, now_ms)
-        heapq.heappush(self._ends, (work.until_ms, work.key, work.engine))
+        heapq.heappush(self._expiries, (work.until_ms, work.key, work.engine))
         self._drop_expired()
 
     def start(self, engine, key):
-        """Note that a prompt's first event was seen."""
+        """Record the first event of a prompt."""
         self.state(engine).start(key, self._now_ms())
 
     def end(self, engine, key):
-        """Note that work ended."""
+        """Remove work that has ended."""
         self.state(engine).end(key, self._now_ms())
 
     def forget(self, engine):
-        """Forget all work at an engine that is no more.
+        """Drop the state of a removed engine.
 
         Args:
           engine: The engine's id.
@@ -336,7 +337,7 @@
         self._states.pop(engine, None)
 
     def has_work(self, engine):
-        """Tell whether any instance's work is known at an engine, a bool.
+        """Return whether any work is known at an engine, a bool.
 
         Args:
           engine: The engine's id.
@@ -345,7 +346,7 @@
         return state is not None and bool(state.works)
 
     def works_of(self, origin):
-        """Return the Works that an instance sent, a list.
+        """Return the Works sent by an instance, a list.
 
         Args:
           origin: The instance's id, or None for this one.
@@ -358,7 +359,7 @@
         ]
 
     def note(self, news):
-        """Take a change that another instance told.
+        """Apply an update of another instance.
 
         Args:
           news: A WorkNews.
@@ -372,25 +373,25 @@
             self.end(work.engine, work.key)
 
     def replace(self, origin, news):
-        """Take all work that another instance has.
+        """Replace all work of another instance.
 
         Args:
           origin: The instance's id.
-          news: A list of WorkNews; what is not among them has ended.
+          news: A list of WorkNews; works missing from it have ended.
         """
-        kept = {one.work.key for one in news}
+        current_keys = {update.work.key for update in news}
         for work in self.works_of(origin):
-            if work.key not in kept:
+            if work.key not in current_keys:
                 self.end(work.engine, work.key)
-        for one in news:
-            self.add(one.work)
-            if one.change == Change.STARTED:
-                self.start(one.work.engine, one.work.key)
+        for update in news:
+            self.add(update.work)
+            if update.change == Change.STARTED:
+                self.start(update.work.engine, update.work.key)
 
     def _drop_expired(self):
         now_ms = self._now_ms()
-        while self._ends and self._ends[0][0] < now_ms:
-            _until_ms, key, engine = heapq.heappop(self._ends)
+        while self._expiries and self._expiries[0][0] < now_ms:
+            _until_ms, key, engine = heapq.heappop(self._expiries)
             state = self._states.get(engine)
             if state is not None:
                 state.end(key, now_ms)
--- a/crankchute/core/engine_board_test.py
+++ b/crankchute/core/engine_board_test.py
@@ -1,4 +1,4 @@
-"""Tests of what engines are believed to be working on."""
+"""Tests of the estimates of the work at engines."""
 
 import pytest
 from hypothesis import given
@@ -10,13 +10,13 @@
 ENGINE = 'engine-1'
 
 
-def make_read(key, **changes):
+def make_prefill(key, **changes):
     fields = {'read_ms': 100, 'until_ms': 10_000, **changes}
     return make_work(key, ENGINE, **fields)
 
 
 class World:
-    """A board with a clock that a test moves."""
+    """An EngineBoard with a manual clock."""
 
     def __init__(self):
         self.now_ms = 0
@@ -27,19 +27,19 @@
         return self.board.state(ENGINE)
 
 
-def test_reads_wait_for_one_another():
+def test_prefills_queue_up():
     world = World()
-    world.board.add(make_read('a'))
-    world.board.add(make_read('b', read_ms=50))
+    world.board.add(make_prefill('a'))
+    world.board.add(make_prefill('b', read_ms=50))
     assert world.state.wait_ms(0) == 150
     world.now_ms = 60
     assert world.state.wait_ms(60) == 90
 
 
-def test_first_event_shows_that_a_read_is_done():
+def test_first_event_ends_the_prefill():
     world = World()
-    world.board.add(make_read('a'))
-    world.board.add(make_read('b', read_ms=50))
+    world.board.add(make_prefill('a'))
+    world.board.add(make_prefill('b', read_ms=50))
     world.now_ms = 20
     world.board.start(ENGINE, 'a')
     assert world.state.wait_ms(20) == 50
@@ -49,56 +49,60 @@
     ('read_ms', 'gap_ms', 'delayed'),
     [(100, 250, False), (300, 250, True), (300, 600, False)],
 )
-def test_writers_that_a_read_delays_are_counted_once(read_ms, gap_ms, delayed):
+def test_decodes_delayed_by_a_prefill_are_counted_once(
+    read_ms, gap_ms, delayed
+):
     world = World()
-    world.board.add(make_read('writer', gap_ms=gap_ms))
+    world.board.add(make_prefill('writer', gap_ms=gap_ms))
     world.board.start(ENGINE, 'writer')
-    assert len(world.state.list_paused(read_ms)) == int(delayed)
-    reader = make_read('reader', read_ms=read_ms, is_writer=False)
+    assert len(world.state.list_delayed_decodes(read_ms)) == int(delayed)
+    reader = make_prefill('reader', read_ms=read_ms, is_writer=False)
     world.board.add(reader)
     assert world.state.works['writer'].is_delayed == delayed
-    # Who is late already cannot be made late again.
-    assert len(world.state.list_paused(1000)) == int(not delayed)
+    # Work that is already late is not delayed again.
+    assert len(world.state.list_delayed_decodes(1000)) == int(not delayed)
 
 
 @pytest.mark.parametrize(
-    ('first_at_ms', 'due_ms', 'started', 'is_put_back'),
+    ('first_at_ms', 'due_ms', 'started', 'is_delayed_prefill'),
     [
         (100, 300, False, True),
         (100, 400, False, False),
-        # It is late already, or its read is over.
+        # Already late, and already read.
         (350, 300, False, False),
         (100, 300, True, False),
     ],
 )
-def test_reads_that_one_before_them_makes_late_are_known(
+def test_prefills_delayed_by_a_prioritized_one_are_listed(
     first_at_ms,
     due_ms,
     started,
-    is_put_back,
+    is_delayed_prefill,
 ):
     world = World()
-    world.board.add(make_read('a', first_at_ms=first_at_ms, due_ms=due_ms))
+    world.board.add(make_prefill('a', first_at_ms=first_at_ms, due_ms=due_ms))
     if started:
         world.board.start(ENGINE, 'a')
-    assert len(world.state.list_put_back(250)) == int(is_put_back)
-    world.board.add(make_read('b', read_ms=250, goes_first=True))
-    moved_ms = world.state.works['a'].first_at_ms - first_at_ms
-    assert moved_ms == 250 - 250 * started
+    assert len(world.state.list_delayed_prefills(250)) == int(
+        is_delayed_prefill
+    )
+    world.board.add(make_prefill('b', read_ms=250, goes_first=True))
+    postponed_ms = world.state.works['a'].first_at_ms - first_at_ms
+    assert postponed_ms == 250 - 250 * started
 
 
-def test_read_that_was_put_back_cannot_be_made_late_again():
+def test_late_prefill_is_not_delayed_again():
     world = World()
-    world.board.add(make_read('a', first_at_ms=100, due_ms=300))
-    world.board.add(make_read('b', read_ms=250, goes_first=True))
-    assert not world.state.list_put_back(250)
+    world.board.add(make_prefill('a', first_at_ms=100, due_ms=300))
+    world.board.add(make_prefill('b', read_ms=250, goes_first=True))
+    assert not world.state.list_delayed_prefills(250)
 
 
-def test_work_of_a_lost_instance_ends_with_its_deadline():
+def test_work_of_a_lost_instance_expires_at_its_deadline():
     world = World()
-    world.board.add(make_read('a', until_ms=500))
+    world.board.add(make_prefill('a', until_ms=500))
     world.now_ms = 501
-    world.board.add(make_read('b'))
+    world.board.add(make_prefill('b'))
     assert set(world.state.works) == {'b'}
 
 
@@ -110,13 +114,13 @@
         ([5, 5, 5, 0.2, 0.2, 0.2, 0.2], False),
     ],
 )
-def test_slow_engines_are_known_by_their_first_events(ratios, is_slow):
+def test_slowness_follows_first_event_latency(ratios, is_slow):
     state = World().state
     for ratio in ratios:
         state.note_pace(ratio, 0)
-    seems_slow = state.slowness(0) > 2
-    assert seems_slow == is_slow
-    # What was seen fades, so that the engine is tried again.
+    found_slow = state.slowness(0) > 2
+    assert found_slow == is_slow
+    # The estimate decays, so that the engine is tried again.
     assert round(state.slowness(30_000)) == 1
 
 
@@ -129,14 +133,14 @@
         max_size=40,
     )
 )
-def test_news_in_any_order_leave_a_sound_board(steps):
+def test_updates_in_any_order_keep_totals_consistent(steps):
     world = World()
     for step, number in steps:
         world.now_ms += 7
         key = f'work-{number}'
         if step == 'add':
             if key not in world.state.works:
-                world.board.add(make_read(key))
+                world.board.add(make_prefill(key))
         elif step == 'start':
             world.board.start(ENGINE, key)
         else:
--- a/crankchute/core/engine_plans.py
+++ b/crankchute/core/engine_plans.py
@@ -89,9 +89,11 @@
         """
         wait_ms = self.delay_ms - self.pass_ms * PASSES
         own_ms = read_ms * self.slowness
-        harmed = self.state.list_paused(wait_ms + self.pass_ms + own_ms)
+        harmed = self.state.list_delayed_decodes(
+            wait_ms + self.pass_ms + own_ms
+        )
         if goes_first:
-            harmed.extend(self.state.list_put_back(own_ms))
+            harmed.extend(self.state.list_delayed_prefills(own_ms))
         return harmed
 
 
