--- a/bench/ablations.py
+++ b/bench/ablations.py
@@ -101,8 +101,8 @@
 _leave_out(
     'joint reading',
     f'{_CORE}/engine_chooser.py',
-    'most = min(_MOST_PARTS, len(helping))',
-    'most = least',
+    'max_parts = min(_MAX_PARTS, len(available))',
+    'max_parts = min_parts',
 )
 _leave_out(
     'memory set aside',
@@ -113,8 +113,8 @@
 _leave_out(
     'engines kept for long prompts',
     f'{_CORE}/engine_chooser.py',
-    '_LONG_PART_COST = 0.12',
-    '_LONG_PART_COST = 0',
+    '_RESERVED_ENGINE_COST = 0.12',
+    '_RESERVED_ENGINE_COST = 0',
 )
 _leave_out(
     'harm to others',
--- a/crankchute/core/engine_chooser.py
+++ b/crankchute/core/engine_chooser.py
@@ -1,11 +1,11 @@
-"""Choosing the engines of a prompt by what they are believed to be doing.
-
-Every way to place a prompt has a cost in worth: that of the prompt itself if
-its first event comes late, and that of the others at its engines whose next
-event would come late because of it.  Long prompts may be read by several
-engines at once, so the cost of each number of engines is compared.  Short
-prompts are kept off a part of the engines, where long ones find no one to
-delay.  The memory of the longest prompts is set aside at several engines.
+"""Cost-based placement of prompts on model engines.
+
+The cost of a placement is the value lost by missed latency goals: those of
+the prompt itself and those of other requests at its engines that it delays.
+The prefill of a long prompt may be split among several engines, so the best
+plan for each number of engines is compared.  Some engines are reserved for
+long prompts, so that their prefills delay few short ones.  The KV memory of
+the longest prompts is reserved at several engines.
 """
 
 from crankchute.core.choosers import Chooser, choosers
@@ -34,48 +34,49 @@
     refuse_crowded,
 )
 
-#: The name of the chooser in the registry.
+#: The default chooser of model engines.
 PREDICTED = 'predicted'
-#: The most engines that read one prompt, the published bound of helpers + 1.
-_MOST_PARTS = 17
-#: What sending a short prompt to an engine that is kept for long ones counts, in worth: about the
-#: chance that a long one comes while it is written.
-_LONG_PART_COST = 0.12
-#: Where all else is equal, a second of delay counts this much.
-_SECOND_COST = 0.15
-#: Every further engine that reads a prompt costs a little.
-_PART_COST = 0.01
-#: What a lack of memory costs: somebody is put back and read anew.
-_NO_MEMORY_COST = 2
-_USABLE_MEMORY = 0.97
-#: More memory is set aside than an even part, so that a prompt whose first
-#: engine fills up still fits.
-_TICKET_MARGIN = 1.05
-_FIRST_SILENCE_MS = 1500
-#: A first event that is this much later than others' reads and three times its
-#: own prediction explain is a sign of a fault.  Half of it and twice the
-#: prediction were signs at sound engines too, and led to crowds elsewhere.
+#: The largest number of engines for one prompt: the published maximum number
+#: of helpers, plus one.
+_MAX_PARTS = 17
+#: Cost of a short prompt at an engine reserved for long ones: about the
+#: probability that a long one arrives during its decode.
+_RESERVED_ENGINE_COST = 0.12
+#: Cost of a delay within the latency goal.
+_DELAY_COST_PER_SECOND = 0.15
+#: Cost of each engine that takes part in a prefill.
+_COST_PER_ENGINE = 0.01
+#: Cost of a memory shortage, which preempts a request and repeats its prefill.
+_MEMORY_SHORTAGE_COST = 2
+_USABLE_MEMORY_SHARE = 0.97
+#: Helpers reserve more than an even share, so that a prompt still fits if its
+#: decoding engine fills up.
+_RESERVATION_MARGIN = 1.05
+_FIRST_EVENT_TIMEOUT_MS = 1500
+#: A first event this much later than the queued prefills and a multiple of its
+#: own prediction explain is a sign of a fault.  Lower limits would report
+#: healthy engines, whose load would then shift to the others.
 _OVERDUE_MS = 600
 _OVERDUE_FACTOR = 3
-_FIRST_SILENCE_FACTOR = 3
-_GAP_SILENCE_FACTOR = 3
-_LEAST_GAP_SILENCE_MS = 1300
+_FIRST_EVENT_TIMEOUT_FACTOR = 3
+_GAP_TIMEOUT_FACTOR = 3
+_MIN_GAP_TIMEOUT_MS = 1300
 _MS_PER_SECOND = 1000
 
 
 @choosers.register(PREDICTED)
 class EngineChooser(Chooser):
-    """Chooses by predicted first event and by the harm to others."""
+    """Chooses by the predicted first event and the delay of other requests."""
 
     def __init__(self, parts):
         """See Chooser."""
         super().__init__(parts)
         self._figures = parts.pool.figures
         self._board = parts.board
-        self._write_ms = estimate_write_ms(parts.pool.figures)
+        self._decode_ms = estimate_write_ms(parts.pool.figures)
         self._shortlist = Shortlist(parts)
         self._admission = PromptAdmission()
-        self._sent = 0
+        self._placement_count = 0
 
     def choose(self, job, avoided):
         """See Chooser."""
@@ -85,33 +86,35 @@
         usable = self.usable(avoided, stretch) or self.usable(avoided)
         if not usable:
             return self.refuse()
-        plans = self._list_plans(job, usable)
+        plans = self._make_plans(job, usable)
         if not plans:
             return self.refuse()
         plan = min(plans, key=_cost_of)
-        # What was begun for a caller is gone on with.
-        is_new = not avoided and job.resume_after is None
-        if is_new and not self._sends(job, plan):
+        # Admission control applies to first attempts only.
+        is_first_attempt = not avoided and job.resume_after is None
+        if is_first_attempt and not self._sends(job, plan):
             remaining_ms = job.remaining_ms(self.now_ms())
             return refuse_crowded(self._parts.hints, remaining_ms)
-        return self._place(job, plan)
+        return self._make_placement(job, plan)
 
     def silent_until_ms(self, job, attempt):
         """See Chooser.
 
-        While an engine reads what was sent there since it was heard from, it
-        writes nothing, so the silence counts from the end of that.
+        An engine emits no events during a prefill, so the timeout starts at
+        the predicted end of the prefills that were sent to it.
         """
         state = self._board.state(attempt.backend.identity)
         since_ms = max(attempt.heard_ms, state.read_until_ms)
         if attempt.started:
-            gap_ms = (job.gap_ms or 0) * _GAP_SILENCE_FACTOR
-            return since_ms + max(gap_ms, _LEAST_GAP_SILENCE_MS)
+            gap_ms = (job.gap_ms or 0) * _GAP_TIMEOUT_FACTOR
+            return since_ms + max(gap_ms, _MIN_GAP_TIMEOUT_MS)
         first_ms = attempt.placement.first_ms or 0
-        allowed_ms = _FIRST_SILENCE_MS + first_ms * _FIRST_SILENCE_FACTOR
+        timeout_ms = (
+            _FIRST_EVENT_TIMEOUT_MS + first_ms * _FIRST_EVENT_TIMEOUT_FACTOR
+        )
         if attempt.placement.helpers:
-            allowed_ms += self._figures.stall_ms
-        return since_ms + allowed_ms
+            timeout_ms += self._figures.stall_ms
+        return since_ms + timeout_ms
 
     def overdue_at_ms(self, job, attempt):
         """See Chooser."""
@@ -133,7 +136,7 @@
             self._parts.news(Change.STARTED, work)
 
     def note_pace(self, placement, seen_ms):
-        """See Chooser; with helpers nobody can tell which one was slow."""
+        """See Chooser; split prefills do not show which engine was slow."""
         if placement.helpers or not placement.first_ms:
             return
         state = self._board.state(placement.backend.identity)
@@ -155,26 +158,28 @@
             self._board.end(work.engine, work.key)
             self._parts.news(Change.ENDED, work)
 
-    def _list_plans(self, job, usable):
-        """Return the Plans that are worth comparing."""
-        longest = self._figures.usual_prompt * LONG_PROMPTS
-        is_long = job.size.prompt > longest
+    def _make_plans(self, job, usable):
+        """Return the Plans to compare."""
+        long_threshold = self._figures.usual_prompt * LONG_PROMPTS
+        is_long = job.size.prompt > long_threshold
         candidates = self._make_candidates(usable, is_long=is_long)
         if is_long:
-            return self._plan_jointly(job, candidates)
+            return self._plan_split(job, candidates)
         read_ms = estimate_read_ms(self._figures, job.size.prompt)
         return [
-            self._plan(job, (one,), read_ms, self._cost_alone(job, one))
-            for one in candidates
+            self._plan(
+                job, (candidate,), read_ms, self._cost_of_single(job, candidate)
+            )
+            for candidate in candidates
         ]
 
     def _make_candidates(self, usable, *, is_long):
-        """Return a Candidate for each engine to compare, in random order."""
+        """Return a Candidate for each shortlisted engine, in random order."""
         shortlist = self._shortlist
         drawn = shortlist.draw(usable, self.now_ms(), is_long=is_long)
         candidates = [
-            self._make_candidate(one, one.identity in shortlist.kept)
-            for one in drawn
+            self._make_candidate(backend, backend.identity in shortlist.kept)
+            for backend in drawn
         ]
         self._parts.random.shuffle(candidates)
         return candidates
@@ -185,11 +190,11 @@
         pass_ms = estimate_pass_ms(self._figures, state.writers, state.memory)
         pass_ms *= slowness
         delay_ms = state.wait_ms(self.now_ms()) + pass_ms * PASSES
-        requests = state.count_requests(self.now_ms(), self._write_ms)
+        requests = state.count_requests(self.now_ms(), self._decode_ms)
         lacking = requests + 1 - self._figures.slots
         if lacking > 0:
-            # One of the writers ends every so often.
-            delay_ms += lacking * self._write_ms / self._figures.slots
+            # A slot frees up at the average rate of finished answers.
+            delay_ms += lacking * self._decode_ms / self._figures.slots
         return Candidate(
             backend,
             state,
@@ -200,27 +205,34 @@
             risk=backend.suspicion.chance(self.now_ms()),
         )
 
-    def _cost_alone(self, job, candidate):
-        cost = _LONG_PART_COST if candidate.is_kept else 0
-        cost += self._shortlist.weigh_way(candidate.backend) * _SECOND_COST
+    def _cost_of_single(self, job, candidate):
+        cost = _RESERVED_ENGINE_COST if candidate.is_kept else 0
+        cost += (
+            self._shortlist.weigh_way(candidate.backend)
+            * _DELAY_COST_PER_SECOND
+        )
         return cost + _cost_of_memory(self._figures, job.size.memory, candidate)
 
-    def _plan_jointly(self, job, candidates):
+    def _plan_split(self, job, candidates):
         """Return the best plan for each number of engines.
 
-        Joint reads take orders at each engine, which count against its limit; an
-        engine that takes little reads alone or not at all.
+        A split prefill sends requests to every engine, which count against
+        their rate limits, so engines with a low limit do not take part.
         """
         may_help = self._parts.turns.may_help
-        helping = [one for one in candidates if may_help(one.backend.identity)]
-        needed = count_least_parts(self._figures, job)
-        least = max(min(needed, len(helping)), 1)
-        most = min(_MOST_PARTS, len(helping))
+        available = [
+            candidate
+            for candidate in candidates
+            if may_help(candidate.backend.identity)
+        ]
+        required_parts = count_least_parts(self._figures, job)
+        min_parts = max(min(required_parts, len(available)), 1)
+        max_parts = min(_MAX_PARTS, len(available))
         plans = [
-            self._plan_parts(job, helping, parts)
-            for parts in range(least, most + 1)
+            self._plan_parts(job, available, parts)
+            for parts in range(min_parts, max_parts + 1)
         ]
-        if needed == 1 and len(helping) < len(candidates):
+        if required_parts == 1 and len(available) < len(candidates):
             plans.append(self._plan_parts(job, candidates, 1))
         return plans
 
@@ -229,40 +241,47 @@
         memory = job.size.memory / parts
         if parts == 1 or count_least_parts(self._figures, job) == 1:
             memory = job.size.memory
-        left_ms = max(self._left_ms(job), 1)
+        remaining_ms = max(self._remaining_goal_ms(job), 1)
 
-        def rank(one):
-            delay = one.first_ms(read_ms) / left_ms
-            harmed = one.list_harmed(read_ms, goes_first=parts > 1)
-            return weigh_harm(harmed) + weigh_job(self._figures, job) * (
-                delay + one.risk
+        def estimate_cost(candidate):
+            delay = candidate.first_ms(read_ms) / remaining_ms
+            delayed = candidate.list_harmed(read_ms, goes_first=parts > 1)
+            return weigh_harm(delayed) + weigh_job(self._figures, job) * (
+                delay + candidate.risk
             )
 
-        ranked = sorted(candidates, key=rank)[:parts]
+        ranked = sorted(candidates, key=estimate_cost)[:parts]
         writer = min(
             ranked,
-            key=lambda one: _cost_of_memory(self._figures, memory, one),
+            key=lambda candidate: _cost_of_memory(
+                self._figures, memory, candidate
+            ),
         )
-        others = [one for one in ranked if one is not writer]
+        helpers = [candidate for candidate in ranked if candidate is not writer]
         cost = (
-            _cost_of_memory(self._figures, memory, writer) + parts * _PART_COST
+            _cost_of_memory(self._figures, memory, writer)
+            + parts * _COST_PER_ENGINE
         )
-        return self._plan(job, (writer, *others), read_ms, cost)
+        return self._plan(job, (writer, *helpers), read_ms, cost)
 
     def _plan(self, job, chosen, read_ms, cost):
-        first_ms = max(one.first_ms(read_ms) for one in chosen)
+        first_ms = max(candidate.first_ms(read_ms) for candidate in chosen)
         harm = weigh_harm(
             work
-            for one in chosen
-            for work in one.list_harmed(read_ms, goes_first=len(chosen) > 1)
+            for candidate in chosen
+            for work in candidate.list_harmed(
+                read_ms, goes_first=len(chosen) > 1
+            )
+        )
+        risk = sum(candidate.risk for candidate in chosen)
+        lateness = grade_lateness(
+            first_ms / max(self._remaining_goal_ms(job), 1)
         )
-        risk = sum(one.risk for one in chosen)
-        late = grade_lateness(first_ms / max(self._left_ms(job), 1))
-        late += grade_lateness(
+        lateness += grade_lateness(
             chosen[0].pass_ms / (job.gap_ms or job.goal_ms),
         )
-        cost += harm + weigh_job(self._figures, job) * (late + risk)
-        cost += first_ms / _MS_PER_SECOND * _SECOND_COST
+        cost += harm + weigh_job(self._figures, job) * (lateness + risk)
+        cost += first_ms / _MS_PER_SECOND * _DELAY_COST_PER_SECOND
         return Plan(
             chosen,
             read_ms=read_ms,
@@ -274,25 +293,25 @@
     def _sends(self, job, plan):
         prospect = Prospect(
             plan.first_ms,
-            self._left_ms(job),
+            self._remaining_goal_ms(job),
             worth=weigh_job(self._figures, job),
             harm=plan.harm,
         )
         return self._admission.sends(prospect, self.now_ms())
 
-    def _left_ms(self, job):
+    def _remaining_goal_ms(self, job):
         return job.goal_ms - (self.now_ms() - job.arrived_ms)
 
-    def _place(self, job, plan):
-        self._sent += 1
-        key = f'{job.request_id}-{self._sent}'
+    def _make_placement(self, job, plan):
+        self._placement_count += 1
+        key = f'{job.request_id}-{self._placement_count}'
         helpers = self._make_helpers(job, plan)
-        reserved = sum(helper.tokens for helper in helpers)
+        reserved_tokens = sum(helper.tokens for helper in helpers)
         writer = plan.chosen[0].backend
-        own = self._make_work(job, key, writer, plan)
-        own.memory = max(job.size.memory - reserved, 0)
-        own.is_writer = True
-        works = [own]
+        decoder_work = self._make_work(job, key, writer, plan)
+        decoder_work.memory = max(job.size.memory - reserved_tokens, 0)
+        decoder_work.is_writer = True
+        works = [decoder_work]
         for helper in helpers:
             work = self._make_work(job, key, helper.backend, plan)
             work.memory = helper.tokens
@@ -303,16 +322,16 @@
             helpers=helpers,
             key=PlacementKey(tuple(works)),
         )
-        placement.beliefs = self._note_beliefs(plan)
+        placement.beliefs = self._make_beliefs(plan)
         return placement
 
-    def _note_beliefs(self, plan):
+    def _make_beliefs(self, plan):
         writer = plan.chosen[0]
         state = writer.state
-        writers = state.count_requests(self.now_ms(), self._write_ms)
+        writers = state.count_requests(self.now_ms(), self._decode_ms)
         return Beliefs(
-            slowness=max(one.slowness for one in plan.chosen),
-            risk=sum(one.risk for one in plan.chosen),
+            slowness=max(candidate.slowness for candidate in plan.chosen),
+            risk=sum(candidate.risk for candidate in plan.chosen),
             wait_ms=state.wait_ms(self.now_ms()),
             writers=writers,
             lacking=max(writers + 1 - self._figures.slots, 0),
@@ -322,13 +341,15 @@
         )
 
     def _make_helpers(self, job, plan):
-        others = [one.backend for one in plan.chosen[1:]]
+        backends = [candidate.backend for candidate in plan.chosen[1:]]
         if count_least_parts(self._figures, job) == 1:
-            return tuple(Helper(backend) for backend in others)
-        even = int(job.size.memory / len(plan.chosen) * _TICKET_MARGIN) + 1
+            return tuple(Helper(backend) for backend in backends)
+        share_tokens = (
+            int(job.size.memory / len(plan.chosen) * _RESERVATION_MARGIN) + 1
+        )
         return tuple(
-            Helper(backend, self._parts.new_ticket(), even)
-            for backend in others
+            Helper(backend, self._parts.new_ticket(), share_tokens)
+            for backend in backends
         )
 
     def _make_work(self, job, key, backend, plan):
@@ -353,5 +374,5 @@
 
 def _cost_of_memory(figures, memory, candidate):
     needed = candidate.state.memory + memory
-    lacks = needed > figures.memory_tokens * _USABLE_MEMORY
-    return _NO_MEMORY_COST if lacks else 0
+    lacks = needed > figures.memory_tokens * _USABLE_MEMORY_SHARE
+    return _MEMORY_SHORTAGE_COST if lacks else 0
--- a/crankchute/core/engine_chooser_test.py
+++ b/crankchute/core/engine_chooser_test.py
@@ -1,4 +1,4 @@
-"""Tests of the choice of engines for short and long prompts."""
+"""Tests of the placement of short and long prompts on engines."""
 
 import pytest
 
@@ -24,16 +24,16 @@
 
 
 class World:
-    """A chooser over some engines, and what it told others."""
+    """An EngineChooser with fake engines; keeps what it announces."""
 
     def __init__(self, engines=4):
         self.timers = ManualTimers()
         self.backends = make_backends(engines)
-        self.told = []
+        self.announced = []
         parts = make_parts(
             self.timers,
             lambda: self.backends,
-            lambda change, work: self.told.append((change, work.engine)),
+            lambda change, work: self.announced.append((change, work.engine)),
         )
         self.board = parts.board
         self.chooser = EngineChooser(parts)
@@ -51,18 +51,18 @@
 
 
 def engines_of(placement):
-    helpers = [one.backend.identity for one in placement.helpers]
+    helpers = [helper.backend.identity for helper in placement.helpers]
     return {placement.backend.identity, *helpers}
 
 
-def test_short_prompts_go_where_nobody_reads():
+def test_short_prompts_go_to_engines_without_prefills():
     world = World()
     chosen = [world.place(SHORT)[1].backend.identity for _ in range(2)]
-    # The first half of the engines is kept for long prompts.
+    # The first half of the engines is reserved for long prompts.
     assert set(chosen) == {'server-02', 'server-03'}
 
 
-def test_long_prompt_spares_the_engines_that_write():
+def test_long_prompt_avoids_decoding_engines():
     world = World()
     for engine in ('server-00', 'server-01', 'server-02'):
         world.add_writer(engine)
@@ -70,8 +70,8 @@
     assert engines_of(placement) == {'server-03'}
 
 
-def test_joint_read_spares_what_it_would_put_back():
-    """Parts of a joint read go before what waits at an engine."""
+def test_split_prefill_avoids_engines_with_waiting_prefills():
+    """The parts of a split prefill run before waiting prefills."""
     world = World(engines=4)
     for engine in ('server-00', 'server-01'):
         waiting = make_work(
@@ -86,7 +86,7 @@
     assert engines_of(placement) == {'server-02', 'server-03'}
 
 
-def test_long_prompt_is_shared_when_one_engine_would_be_late():
+def test_long_prompt_is_split_if_one_engine_would_be_late():
     world = World()
     _job, placement = world.place(LONG, goal_ms=700)
     assert len(placement.helpers) >= 1
@@ -97,7 +97,7 @@
     ('size', 'has_tickets'),
     [(SHORT, False), (LONG, False), (HUGE, True)],
 )
-def test_memory_is_set_aside_only_for_the_longest(size, has_tickets):
+def test_memory_is_reserved_only_for_the_longest_prompts(size, has_tickets):
     world = World(engines=8)
     _job, placement = world.place(size, goal_ms=2500)
     assert bool(placement.tickets) == has_tickets
@@ -108,7 +108,7 @@
         assert largest < 232_000 / 2 * 1.1
 
 
-def test_tickets_are_new_each_time():
+def test_tickets_are_unique():
     world = World(engines=8)
     tickets = []
     for _ in range(3):
@@ -118,19 +118,19 @@
     assert len(tickets) == len(set(tickets))
 
 
-def test_board_and_peers_hear_of_begin_and_end():
+def test_changes_update_the_board_and_are_announced():
     world = World()
     job, placement = world.place(SHORT)
     engine = placement.backend.identity
     world.chooser.note_first(job, placement)
     world.chooser.note_end(job, placement)
-    changes = [change for change, where in world.told if where == engine]
+    changes = [change for change, where in world.announced if where == engine]
     assert changes == [Change.SENT, Change.STARTED, Change.ENDED]
     assert not world.board.state(engine).works
     assert world.board.state(engine).memory == 0
 
 
-def test_servers_to_avoid_are_never_chosen():
+def test_avoided_servers_are_never_chosen():
     world = World(engines=2)
     avoided = {'server-00', 'server-01'}
     refusal = world.chooser.choose(make_job(), avoided)
@@ -138,7 +138,7 @@
     assert refusal.code == 'no_backend'
 
 
-def test_engine_with_all_slots_taken_is_left_alone():
+def test_engine_without_a_free_slot_is_not_chosen():
     world = World(engines=2)
     state = world.board.state('server-01')
     state.writers = 8
@@ -146,7 +146,7 @@
     assert placement.backend.identity == 'server-00'
 
 
-def test_server_that_failed_is_left_alone_while_another_is_left():
+def test_failed_server_is_chosen_only_as_a_last_resort():
     world = World(engines=2)
     for _ in range(3):
         world.backends[1].breaker.note_failure(0)
@@ -159,7 +159,7 @@
 
 
 class FakeAttempt:
-    """An attempt as far as silence goes."""
+    """The attributes of an attempt that timeouts depend on."""
 
     def __init__(self, placement, heard_ms):
         self.placement = placement
@@ -168,7 +168,7 @@
         self.started = True
 
 
-def test_engine_that_reads_may_be_silent_for_longer():
+def test_prefill_extends_the_response_timeout():
     world = World(engines=1)
     job, placement = world.place(SHORT)
     attempt = FakeAttempt(placement, 0)
@@ -180,8 +180,8 @@
     assert world.chooser.silent_until_ms(job, attempt) == before_ms + read_ms
 
 
-def test_engine_that_hangs_is_suspected_before_its_callers_leave():
-    """A sign comes while the request waits, and stays if the caller leaves."""
+def test_hanging_engine_is_suspected_before_callers_cancel():
+    """The suspicion arises during the wait and outlasts the request."""
     world = ForwardWorld()
     world.chooser.overdue_at_ms = lambda _job, attempt: attempt.heard_ms + 450
     flow, _sink = world.submit(is_stream=True, repeat=Repeat.RESUME)
@@ -194,7 +194,7 @@
     assert round(backend.suspicion.own_signs(460).failures) == 1
 
 
-def test_engine_that_answers_late_is_forgiven():
+def test_late_response_clears_the_suspicion():
     world = ForwardWorld()
     world.chooser.overdue_at_ms = lambda _job, attempt: attempt.heard_ms + 450
     world.submit(is_stream=True, repeat=Repeat.RESUME)
@@ -206,7 +206,7 @@
     assert not round(backend.suspicion.own_signs(460).failures, 3)
 
 
-def test_engine_that_reads_for_others_is_not_overdue():
+def test_queued_prefills_postpone_the_overdue_time():
     world = World()
     world.place(LONG, goal_ms=60_000)
     job, placement = world.place(SHORT)
@@ -218,39 +218,39 @@
 
 
 @pytest.mark.parametrize(
-    ('told', 'chosen'),
+    ('requests', 'chosen'),
     [
-        # A slot frees in time for a usual short prompt.
+        # A slot frees up in time for a usual short prompt.
         (8, {'server-02', 'server-03'}),
         (12, {'server-00', 'server-01'}),
     ],
 )
-def test_unknown_requests_count_by_the_wait_for_a_slot(told, chosen):
+def test_unknown_requests_count_as_the_wait_for_a_slot(requests, chosen):
     world = World(engines=4)
     for backend in world.backends[2:]:
-        world.chooser.note_load(backend, SeenLoad(told))
+        world.chooser.note_load(backend, SeenLoad(requests))
     assert engines_of(world.place(SHORT)[1]) <= chosen
-    # They end in time, whoever sent them.
+    # Unknown requests are assumed to end as well.
     world.timers.advance(2500)
     assert engines_of(world.place(SHORT)[1]) <= {'server-02', 'server-03'}
 
 
-def make_zoned_world(connected=(), near=()):
-    """Return a world of alike engines with connections and data centres."""
+def make_world_with_data_centres(connected=(), local=()):
+    """Return a World of idle engines, some connected or local."""
     world = World(engines=8)
     for backend in world.backends:
-        centre = 'here' if backend.identity in near else 'there'
-        backend.listed.data_centre = centre
+        data_centre = 'here' if backend.identity in local else 'there'
+        backend.listed.data_centre = data_centre
     parts = make_parts(world.timers, lambda: world.backends)
     parts.data_centre = 'here'
-    parts.is_connected = lambda one: one.identity in connected
+    parts.is_connected = lambda server: server.identity in connected
     world.board = parts.board
     world.chooser = EngineChooser(parts)
     return world
 
 
 @pytest.mark.parametrize(
-    ('connected', 'near', 'chosen'),
+    ('connected', 'local', 'chosen'),
     [
         ({'server-06'}, set(), 'server-06'),
         (set(), {'server-06'}, 'server-06'),
@@ -258,16 +258,14 @@
         ({'server-05', 'server-06'}, {'server-06'}, 'server-06'),
     ],
 )
-def test_among_engines_that_are_alike_the_nearest_is_chosen(
-    connected, near, chosen
-):
-    world = make_zoned_world(connected, near)
+def test_nearest_of_equivalent_engines_is_chosen(connected, local, chosen):
+    world = make_world_with_data_centres(connected, local)
     _job, placement = world.place(SHORT)
     assert placement.backend.identity == chosen
 
 
-def test_engine_that_reads_is_not_chosen_for_its_connection():
-    world = make_zoned_world({'server-06'}, {'server-06'})
+def test_prefill_outweighs_an_open_connection():
+    world = make_world_with_data_centres({'server-06'}, {'server-06'})
     work = make_work('reads', 'server-06', read_ms=200)
     world.board.add(work)
     _job, placement = world.place(SHORT)
@@ -275,11 +273,11 @@
 
 
 @pytest.mark.parametrize(('writers', 'lacking'), [(0, 0), (7, 0), (8, 1)])
-def test_beliefs_say_how_many_must_end_first(writers, lacking):
-    """What the logs call a wait for a slot is found by it."""
+def test_placement_states_how_many_requests_must_end_first(writers, lacking):
+    """The log of a wait for a slot depends on it."""
     world = World(engines=1)
     for number in range(writers):
-        # Nobody whom another read would make late, so none is refused.
+        # The long gap keeps admission control from refusing the prompt.
         work = make_work(f'writer-{number}', 'server-00', gap_ms=60_000)
         world.board.add(work)
         world.board.start('server-00', work.key)
