--- a/crankchute/core/engine_fakes.py
+++ b/crankchute/core/engine_fakes.py
@@ -1,21 +1,21 @@
-"""Small fakes of what engines do and tell, for tests."""
+"""Test doubles of engines and their load reports."""
 
 from crankchute.core.engine_board import Work
 from crankchute.core.load_survey import ReportPort
 
-_DUE_MS = 300
+_FIRST_EVENT_DUE_MS = 300
 
 
 class FakeReports(ReportPort):
-    """Answers with what a test says.
+    """A ReportPort with canned loads.
 
     Attributes:
       loads: A map from a server's id to its SeenLoad.
-      asked: The ids of the servers that were asked, a list.
+      asked: The ids of the servers that were polled, a list.
     """
 
     def __init__(self):
-        """Create without loads."""
+        """Create the port without loads."""
         self.loads = {}
         self.asked = []
 
@@ -32,12 +32,12 @@
 
 
 def make_work(key, engine, **changes):
-    """Return a Work of a usual short prompt.
+    """Return the Work of a short prompt.
 
     Args:
-      key: Its key.
+      key: The key of the work.
       engine: The engine's id.
-      changes: Attributes that differ.
+      changes: Attributes that replace the defaults.
     """
     fields = {
         'read_ms': 30,
@@ -46,7 +46,7 @@
         'gap_ms': 250,
         'weight': 1,
         'until_ms': 60_000,
-        'due_ms': _DUE_MS,
+        'due_ms': _FIRST_EVENT_DUE_MS,
         'first_at_ms': 50,
         'goes_first': False,
     }
