--- a/crankchute/core/engine_chooser.py
+++ b/crankchute/core/engine_chooser.py
@@ -13,7 +13,7 @@
 from crankchute.core.engine_model import (
     estimate_pass_ms,
     estimate_read_ms,
-    estimate_write_ms,
+    estimate_decode_ms,
 )
 from crankchute.core.engine_plans import (
     PASSES,
@@ -73,7 +73,7 @@
         super().__init__(parts)
         self._figures = parts.pool.figures
         self._board = parts.board
-        self._decode_ms = estimate_write_ms(parts.pool.figures)
+        self._decode_ms = estimate_decode_ms(parts.pool.figures)
         self._shortlist = Shortlist(parts)
         self._admission = PromptAdmission()
         self._placement_count = 0
--- a/crankchute/core/engine_model.py
+++ b/crankchute/core/engine_model.py
@@ -1,13 +1,12 @@
-"""How long a model engine takes, worked out from its published figures.
+"""Performance model of an engine, based on its published figures.
 
-An engine works in passes.  A pass in which somebody writes plays a number of
-steps; each step writes one token for every writer and reads at most one chunk
-of the prompts that wait.  Reading costs time by the token, and by the pair of
-a token and one before it, so the cost of a prompt grows faster than its
-length.
+An engine runs scheduler passes.  A pass with decoding requests has several
+steps; each step decodes one token of every such request and prefills at most
+one chunk of the waiting prompts.  Prefill time has a term per token and one
+per pair of tokens (attention), so it grows faster than the prompt's length.
 """
 
-_PER_THOUSAND = 1000
+_THOUSAND = 1000
 _PAIRS_UNIT = 1_000_000
 
 
@@ -15,18 +14,18 @@
     """The published figures of a pool's engines.
 
     Attributes:
-      slots: How many requests one engine works on at once.
-      memory_tokens: KV memory of one engine, in tokens.
-      stride: Steps in a pass that has writers.
-      step_ms: What a step costs, in milliseconds.
-      writer_ms: What each writer adds to a step.
-      context_ms: What a thousand tokens of a writer's context add to a step.
-      read_per_ms: Prompt tokens read in a millisecond.
-      pairs_ms: What a million pairs of tokens add to reading.
-      chunk: The most prompt tokens read in a step.
-      hop_ms: What a step of a writer with helpers adds.
-      report_lag_ms: How old the figures of an engine's report are.
-      stall_ms: How long work that depends on a lost engine stands still.
+      slots: The maximum number of concurrent requests.
+      memory_tokens: The KV memory of one engine, in tokens.
+      stride: The number of steps in a pass with decoding requests.
+      step_ms: The base duration of a step.
+      writer_ms: The time that each decoding request adds to a step.
+      context_ms: The time that a thousand tokens of context add to a step.
+      read_per_ms: Prompt tokens prefilled in a millisecond.
+      pairs_ms: The time that a million pairs of tokens add to a prefill.
+      chunk: The maximum number of prompt tokens prefilled in a step.
+      hop_ms: The time that helpers add to a step of a decoding request.
+      report_lag_ms: The age of the figures in a load report.
+      stall_ms: How long requests that depend on a lost engine stall.
       usual_prompt: The mean length of prompts, in tokens.
       usual_answer: The mean length of answers, in tokens.
     """
@@ -59,67 +58,68 @@
 
 
 def estimate_read_ms(figures, tokens, parts=1):
-    """Return how long an engine reads a prompt, or an even part of one.
+    """Return the prefill time of a prompt, or of an even part of one.
 
     Args:
       figures: EngineFigures.
       tokens: The length of the whole prompt.
-      parts: Among how many engines it is shared.
+      parts: The number of engines that share the prefill.
     Returns:
-      Milliseconds for each of the engines, a float.
+      Milliseconds on each engine, a float.
     """
     pairs = tokens * tokens / 2 / _PAIRS_UNIT
-    whole = tokens / figures.read_per_ms + pairs * figures.pairs_ms
+    total_ms = tokens / figures.read_per_ms + pairs * figures.pairs_ms
     steps = -(-tokens // max(figures.chunk * parts, 1))
-    return whole / parts + steps * figures.step_ms
+    return total_ms / parts + steps * figures.step_ms
 
 
 def estimate_step_ms(figures, writers, context_tokens):
-    """Return how long a step without reading takes.
+    """Return the duration of a step without prefill, in milliseconds.
 
     Args:
       figures: EngineFigures.
-      writers: How many requests write.
-      context_tokens: The tokens of all their contexts.
+      writers: The number of decoding requests.
+      context_tokens: The total length of their contexts.
     """
-    context = context_tokens / _PER_THOUSAND * figures.context_ms
-    return figures.step_ms + writers * figures.writer_ms + context
+    context_ms = context_tokens / _THOUSAND * figures.context_ms
+    return figures.step_ms + writers * figures.writer_ms + context_ms
 
 
 def estimate_pass_ms(figures, writers, context_tokens):
-    """Return how long a pass without reading takes.
+    """Return the duration of a pass without prefill, in milliseconds.
 
     Args:
       figures: EngineFigures.
-      writers: How many requests write; a pass without any is one step.
-      context_tokens: The tokens of all their contexts.
+      writers: The number of decoding requests; without any, a pass is one
+        step.
+      context_tokens: The total length of their contexts.
     """
     step_ms = estimate_step_ms(figures, writers, context_tokens)
     return step_ms * figures.stride if writers else step_ms
 
 
-def estimate_write_ms(figures):
-    """Return how long an engine writes a usual answer, half full.
+def estimate_decode_ms(figures):
+    """Return the decode time of a usual answer at a half-full engine.
 
     Args:
       figures: EngineFigures.
     """
     writers = figures.slots / 2
-    context = writers * (figures.usual_prompt + figures.usual_answer / 2)
-    step_ms = estimate_step_ms(figures, writers, context)
+    context_tokens = writers * (figures.usual_prompt + figures.usual_answer / 2)
+    step_ms = estimate_step_ms(figures, writers, context_tokens)
     return figures.usual_answer * step_ms
 
 
-def count_parts(figures, tokens, part_ms, most):
-    """Return among how many engines a prompt should be shared.
+def count_parts(figures, tokens, max_part_ms, max_parts):
+    """Return how many engines should share a prompt's prefill.
 
     Args:
       figures: EngineFigures.
       tokens: The prompt's length.
-      part_ms: How long one engine should read at most.
-      most: The most engines that may share it.
+      max_part_ms: The target for the prefill time of each engine.
+      max_parts: The maximum number of engines.
     Returns:
       An int, at least 1.
     """
-    whole_ms = estimate_read_ms(figures, tokens)
-    return max(1, min(most, round(whole_ms / part_ms)))
+    total_ms = estimate_read_ms(figures, tokens)
+    return max(1, min(max_parts, round(total_ms / max_part_ms)))
--- a/crankchute/core/engine_model_test.py
+++ b/crankchute/core/engine_model_test.py
@@ -1,4 +1,4 @@
-"""Tests of the engine model against figures worked out by hand."""
+"""Tests of the engine performance model against hand-computed values."""
 
 import pytest
 
@@ -19,12 +19,12 @@
         (0, 1, 0),
     ],
 )
-def test_reading(tokens, parts, expected_ms):
-    seen_ms = estimate_read_ms(make_figures(), tokens, parts)
-    assert seen_ms == pytest.approx(expected_ms, rel=0.01, abs=0.2)
+def test_prefill_time(tokens, parts, expected_ms):
+    estimated_ms = estimate_read_ms(make_figures(), tokens, parts)
+    assert estimated_ms == pytest.approx(expected_ms, rel=0.01, abs=0.2)
 
 
-def test_a_pass_without_writers_is_one_step():
+def test_pass_without_decodes_is_one_step():
     figures = make_figures()
     assert estimate_pass_ms(figures, 0, 0) == figures.step_ms
     step_ms = estimate_step_ms(figures, 3, 10_000)
--- a/crankchute/core/engine_shortlist.py
+++ b/crankchute/core/engine_shortlist.py
@@ -9,7 +9,7 @@
 
 import heapq
 
-from crankchute.core.engine_model import estimate_write_ms
+from crankchute.core.engine_model import estimate_decode_ms
 
 #: How many engines are compared for a prompt that one engine reads, of those
 #: that short prompts may use freely and of the others.
@@ -55,7 +55,7 @@
         self._is_connected = parts.is_connected
         self._data_centre = parts.data_centre
         self._slots = parts.pool.figures.slots
-        self._slot_ms = estimate_write_ms(parts.pool.figures) / self._slots
+        self._slot_ms = estimate_decode_ms(parts.pool.figures) / self._slots
         self._members = None
         self._order = []
         self._ordered = []
