--- a/bench/ablations.py
+++ b/bench/ablations.py
@@ -107,8 +107,8 @@
 _leave_out(
     'memory set aside',
     f'{_CORE}/engine_plans.py',
-    '_SHARED_MEMORY = 0.5',
-    '_SHARED_MEMORY = 99',
+    '_MAX_MEMORY_SHARE = 0.5',
+    '_MAX_MEMORY_SHARE = 99',
 )
 _leave_out(
     'engines kept for long prompts',
--- a/crankchute/core/engine_chooser.py
+++ b/crankchute/core/engine_chooser.py
@@ -11,19 +11,19 @@
 from crankchute.core.choosers import Chooser, choosers
 from crankchute.core.engine_board import Change, Work
 from crankchute.core.engine_model import (
+    estimate_decode_ms,
     estimate_pass_ms,
     estimate_read_ms,
-    estimate_decode_ms,
 )
 from crankchute.core.engine_plans import (
-    PASSES,
+    PREFILL_DELAY_PASSES,
     Candidate,
     PlacementKey,
     Plan,
-    count_least_parts,
-    grade_lateness,
-    weigh_harm,
-    weigh_job,
+    count_required_parts,
+    estimate_harm,
+    estimate_late_probability,
+    estimate_worth,
 )
 from crankchute.core.engine_shortlist import Shortlist
 from crankchute.core.forward_job import Beliefs, Helper, Placement
@@ -184,12 +184,12 @@
         self._parts.random.shuffle(candidates)
         return candidates
 
-    def _make_candidate(self, backend, is_kept):
+    def _make_candidate(self, backend, is_reserved):
         state = self._board.state(backend.identity)
         slowness = state.slowness(self.now_ms())
         pass_ms = estimate_pass_ms(self._figures, state.writers, state.memory)
         pass_ms *= slowness
-        delay_ms = state.wait_ms(self.now_ms()) + pass_ms * PASSES
+        delay_ms = state.wait_ms(self.now_ms()) + pass_ms * PREFILL_DELAY_PASSES
         requests = state.count_requests(self.now_ms(), self._decode_ms)
         lacking = requests + 1 - self._figures.slots
         if lacking > 0:
@@ -200,13 +200,13 @@
             state,
             delay_ms=delay_ms,
             pass_ms=pass_ms,
-            is_kept=is_kept,
+            is_reserved=is_reserved,
             slowness=slowness,
             risk=backend.suspicion.chance(self.now_ms()),
         )
 
     def _cost_of_single(self, job, candidate):
-        cost = _RESERVED_ENGINE_COST if candidate.is_kept else 0
+        cost = _RESERVED_ENGINE_COST if candidate.is_reserved else 0
         cost += (
             self._shortlist.weigh_way(candidate.backend)
             * _DELAY_COST_PER_SECOND
@@ -225,7 +225,7 @@
             for candidate in candidates
             if may_help(candidate.backend.identity)
         ]
-        required_parts = count_least_parts(self._figures, job)
+        required_parts = count_required_parts(self._figures, job)
         min_parts = max(min(required_parts, len(available)), 1)
         max_parts = min(_MAX_PARTS, len(available))
         plans = [
@@ -239,16 +239,16 @@
     def _plan_parts(self, job, candidates, parts):
         read_ms = estimate_read_ms(self._figures, job.size.prompt, parts)
         memory = job.size.memory / parts
-        if parts == 1 or count_least_parts(self._figures, job) == 1:
+        if parts == 1 or count_required_parts(self._figures, job) == 1:
             memory = job.size.memory
         remaining_ms = max(self._remaining_goal_ms(job), 1)
 
         def estimate_cost(candidate):
             delay = candidate.first_ms(read_ms) / remaining_ms
-            delayed = candidate.list_harmed(read_ms, goes_first=parts > 1)
-            return weigh_harm(delayed) + weigh_job(self._figures, job) * (
-                delay + candidate.risk
-            )
+            delayed = candidate.list_delayed(read_ms, goes_first=parts > 1)
+            return estimate_harm(delayed) + estimate_worth(
+                self._figures, job
+            ) * (delay + candidate.risk)
 
         ranked = sorted(candidates, key=estimate_cost)[:parts]
         writer = min(
@@ -266,21 +266,21 @@
 
     def _plan(self, job, chosen, read_ms, cost):
         first_ms = max(candidate.first_ms(read_ms) for candidate in chosen)
-        harm = weigh_harm(
+        harm = estimate_harm(
             work
             for candidate in chosen
-            for work in candidate.list_harmed(
+            for work in candidate.list_delayed(
                 read_ms, goes_first=len(chosen) > 1
             )
         )
         risk = sum(candidate.risk for candidate in chosen)
-        lateness = grade_lateness(
+        lateness = estimate_late_probability(
             first_ms / max(self._remaining_goal_ms(job), 1)
         )
-        lateness += grade_lateness(
+        lateness += estimate_late_probability(
             chosen[0].pass_ms / (job.gap_ms or job.goal_ms),
         )
-        cost += harm + weigh_job(self._figures, job) * (lateness + risk)
+        cost += harm + estimate_worth(self._figures, job) * (lateness + risk)
         cost += first_ms / _MS_PER_SECOND * _DELAY_COST_PER_SECOND
         return Plan(
             chosen,
@@ -294,7 +294,7 @@
         prospect = Prospect(
             plan.first_ms,
             self._remaining_goal_ms(job),
-            worth=weigh_job(self._figures, job),
+            worth=estimate_worth(self._figures, job),
             harm=plan.harm,
         )
         return self._admission.sends(prospect, self.now_ms())
@@ -342,7 +342,7 @@
 
     def _make_helpers(self, job, plan):
         backends = [candidate.backend for candidate in plan.chosen[1:]]
-        if count_least_parts(self._figures, job) == 1:
+        if count_required_parts(self._figures, job) == 1:
             return tuple(Helper(backend) for backend in backends)
         share_tokens = (
             int(job.size.memory / len(plan.chosen) * _RESERVATION_MARGIN) + 1
@@ -360,7 +360,7 @@
             memory=0,
             is_writer=False,
             gap_ms=job.gap_ms or job.goal_ms,
-            weight=weigh_job(self._figures, job),
+            weight=estimate_worth(self._figures, job),
             until_ms=job.deadline_ms,
             due_ms=job.arrived_ms + job.goal_ms,
             first_at_ms=self.now_ms() + plan.first_ms,
--- a/crankchute/core/engine_plans.py
+++ b/crankchute/core/engine_plans.py
@@ -1,20 +1,17 @@
-"""What a choice of engines is made of: candidates, plans, and their weights."""
+"""Candidates, plans and cost terms of the placement of prompts."""
 
-#: The part of the time to the goal from which on a first event may be late.
-#: Nine in ten come within 1.1 of the prediction where no joint read interferes;
-#: 0.6 and 0.8 differ little (worth of yards without faults, mean of six seeds:
-#: 0.882 and 0.888).
-_SURE_PART = 0.8
-#: How many passes a prompt waits at an engine with writers: half of the one
-#: that runs, and the one in which it is read (MEASUREMENTS.md).
-PASSES = 1.5
-#: A prompt that needs more than this part of an engine's memory has it set
-#: aside at several engines: beside it there would be room for little else.
-_SHARED_MEMORY = 0.5
+#: The share of the time to a goal up to which a predicted duration is safe.
+_SAFE_SHARE = 0.8
+#: Passes before the first event of a prompt at a decoding engine: half of the
+#: current one on average, and the one with its prefill.
+PREFILL_DELAY_PASSES = 1.5
+#: A prompt that needs a larger share of an engine's memory reserves it at
+#: several engines, which leaves room for other requests.
+_MAX_MEMORY_SHARE = 0.5
 
 
 class PlacementKey:
-    """By what the board knows an attempt: its works at several engines."""
+    """The works of an attempt at all of its engines."""
 
     __slots__ = ('works',)
 
@@ -22,28 +19,28 @@
         """Create the key.
 
         Args:
-          works: A tuple of Work, the writer's first.
+          works: A tuple of Work, that of the decoding engine first.
         """
         self.works = works
 
 
 class Candidate:
-    """An engine that a job may be sent to.
+    """An engine that is considered for a job.
 
     Attributes:
       backend: The Backend.
       state: Its EngineState.
-      delay_ms: How long a read that is sent now waits there.
-      pass_ms: How long a pass takes there without new reads.
-      is_kept: Whether short prompts are kept off it, a bool.
-      slowness: How much slower than published it seems to be.
-      risk: How likely a request fails there, from 0 to 1.
+      delay_ms: The predicted queueing delay of a new prefill.
+      pass_ms: The duration of a pass without new prefills.
+      is_reserved: Whether it is reserved for long prompts, a bool.
+      slowness: The estimated ratio of actual to published durations.
+      risk: The probability that a request fails there.
     """
 
     __slots__ = (
         'backend',
         'delay_ms',
-        'is_kept',
+        'is_reserved',
         'pass_ms',
         'risk',
         'slowness',
@@ -62,43 +59,40 @@
         self.state = state
         self.delay_ms = fields['delay_ms']
         self.pass_ms = fields['pass_ms']
-        self.is_kept = fields['is_kept']
+        self.is_reserved = fields['is_reserved']
         self.slowness = fields['slowness']
         self.risk = fields['risk']
 
     def first_ms(self, read_ms):
-        """Predict when a read that is sent now is done.
+        """Return the predicted time until a new prefill ends.
 
         Args:
-          read_ms: How long it takes by the published figures.
+          read_ms: Its duration by the published figures.
         """
         return self.delay_ms + read_ms * self.slowness
 
-    def list_harmed(self, read_ms, *, goes_first):
-        """Return the works that a read would make late here.
-
-        Parts of a prompt that several engines read go before what waits: of
-        304 joint reads that another one followed, a tenth had first events
-        after 4.4 times the prediction, of 857 others after 1.1 times.
+    def list_delayed(self, read_ms, *, goes_first):
+        """Return the works here that a new prefill would make late.
 
         Args:
-          read_ms: How long it takes by the published figures.
-          goes_first: Whether it goes before what waits already.
+          read_ms: Its duration by the published figures.
+          goes_first: Whether it runs before those that wait, as the parts of
+            a split prefill do.
         Returns:
           A list of Work.
         """
-        wait_ms = self.delay_ms - self.pass_ms * PASSES
-        own_ms = read_ms * self.slowness
-        harmed = self.state.list_delayed_decodes(
-            wait_ms + self.pass_ms + own_ms
+        wait_ms = self.delay_ms - self.pass_ms * PREFILL_DELAY_PASSES
+        prefill_ms = read_ms * self.slowness
+        delayed = self.state.list_delayed_decodes(
+            wait_ms + self.pass_ms + prefill_ms
         )
         if goes_first:
-            harmed.extend(self.state.list_delayed_prefills(own_ms))
-        return harmed
+            delayed.extend(self.state.list_delayed_prefills(prefill_ms))
+        return delayed
 
 
 class Plan:
-    """A way to place a job, and its cost in worth."""
+    """A possible placement of a job and its cost."""
 
     __slots__ = ('chosen', 'cost', 'first_ms', 'harm', 'read_ms')
 
@@ -106,11 +100,11 @@
         """Create the plan.
 
         Args:
-          chosen: Candidates, the writer first.
-          read_ms: How long each of them reads.
-          first_ms: When the last part is predicted to be read.
-          cost: A float, the harm to others included.
-          harm: What others lose by it, a float.
+          chosen: Candidates, the decoding engine first.
+          read_ms: The prefill time on each of them.
+          first_ms: The predicted time until all parts are prefilled.
+          cost: The total cost, including harm, a float.
+          harm: The worth that other requests lose, a float.
         """
         self.chosen = chosen
         self.read_ms = read_ms
@@ -119,8 +113,8 @@
         self.harm = harm
 
 
-def weigh_harm(works):
-    """Return the worth that is lost with works that come late.
+def estimate_harm(works):
+    """Return the worth that is lost if works are late.
 
     Args:
       works: An iterable of Work; the parts of one prompt count once.
@@ -129,8 +123,8 @@
     return sum(weights.values())
 
 
-def weigh_job(figures, job):
-    """Return the worth of a job, as that of so many usual prompts.
+def estimate_worth(figures, job):
+    """Return the worth of a job, in multiples of a usual prompt's.
 
     Args:
       figures: EngineFigures.
@@ -139,32 +133,32 @@
     return max(job.size.prompt / figures.usual_prompt, 1)
 
 
-def count_least_parts(figures, job):
-    """Return among how many engines a job's memory must be shared.
+def count_required_parts(figures, job):
+    """Return the number of engines that a job's memory requires.
 
     Args:
       figures: EngineFigures.
       job: A ForwardJob with a size.
     """
-    usable = figures.memory_tokens * _SHARED_MEMORY
+    usable = figures.memory_tokens * _MAX_MEMORY_SHARE
     needed = job.size.memory
     return 1 if needed <= usable else -int(-needed // usable)
 
 
-def grade_lateness(part):
-    """Return how likely what takes a part of its time is late, from 0 to 1.
+def estimate_late_probability(time_share):
+    """Return the probability of missing a goal, from 0 to 1.
 
     Args:
-      part: The predicted by the allowed time.
+      time_share: The ratio of the predicted to the allowed time.
     """
-    return min(max((part - _SURE_PART) / (1 - _SURE_PART), 0), 1)
+    return min(max((time_share - _SAFE_SHARE) / (1 - _SAFE_SHARE), 0), 1)
 
 
-def is_surely_in_time(first_ms, left_ms):
-    """Tell whether a first event is hardly ever late.
+def is_safely_on_time(first_ms, remaining_ms):
+    """Return whether a first event is very likely on time.
 
     Args:
-      first_ms: When it is predicted.
-      left_ms: What is left until the goal, in milliseconds.
+      first_ms: The predicted time until the first event.
+      remaining_ms: The time left until the goal.
     """
-    return first_ms <= left_ms * _SURE_PART
+    return first_ms <= remaining_ms * _SAFE_SHARE
--- a/crankchute/core/prompt_admission.py
+++ b/crankchute/core/prompt_admission.py
@@ -22,7 +22,7 @@
 
 import math
 
-from crankchute.core.engine_plans import is_surely_in_time
+from crankchute.core.engine_plans import is_safely_on_time
 from crankchute.core.outcomes import refuse_not_run
 
 #: What a caller loses that comes back, as a part of its full worth: an answer
@@ -80,7 +80,7 @@
     Returns:
       A bool; true if nobody is harmed.
     """
-    in_time = is_surely_in_time(prospect.first_ms, prospect.left_ms)
+    in_time = is_safely_on_time(prospect.first_ms, prospect.left_ms)
     gain = _IN_TIME_GAIN if in_time else _LATE_GAIN
     return prospect.harm <= prospect.worth * gain
 
