--- a/crankchute/core/engine_chooser.py
+++ b/crankchute/core/engine_chooser.py
@@ -80,10 +80,10 @@
 
     def choose(self, job, avoided):
         """See Chooser."""
-        self._shortlist.take(self._parts.members())
-        self._shortlist.divide(self.now_ms())
-        stretch = self._shortlist.draw_stretch()
-        usable = self.usable(avoided, stretch) or self.usable(avoided)
+        self._shortlist.update_members(self._parts.members())
+        self._shortlist.update_reserved(self.now_ms())
+        window = self._shortlist.sample_window()
+        usable = self.usable(avoided, window) or self.usable(avoided)
         if not usable:
             return self.refuse()
         plans = self._make_plans(job, usable)
@@ -176,10 +176,12 @@
     def _make_candidates(self, usable, *, is_long):
         """Return a Candidate for each shortlisted engine, in random order."""
         shortlist = self._shortlist
-        drawn = shortlist.draw(usable, self.now_ms(), is_long=is_long)
+        selected = shortlist.select(usable, self.now_ms(), is_long=is_long)
         candidates = [
-            self._make_candidate(backend, backend.identity in shortlist.kept)
-            for backend in drawn
+            self._make_candidate(
+                backend, backend.identity in shortlist.reserved_ids
+            )
+            for backend in selected
         ]
         self._parts.random.shuffle(candidates)
         return candidates
@@ -208,7 +210,7 @@
     def _cost_of_single(self, job, candidate):
         cost = _RESERVED_ENGINE_COST if candidate.is_reserved else 0
         cost += (
-            self._shortlist.weigh_way(candidate.backend)
+            self._shortlist.estimate_path_cost_s(candidate.backend)
             * _DELAY_COST_PER_SECOND
         )
         return cost + _cost_of_memory(self._figures, job.size.memory, candidate)
--- a/crankchute/core/engine_shortlist.py
+++ b/crankchute/core/engine_shortlist.py
@@ -1,47 +1,42 @@
-"""Which engines of a pool are worth a full comparison for a prompt.
+"""Preselection of the engines to compare for a prompt.
 
-Comparing every engine costs 1.0 ms for a prompt of 5,000 tokens and 2.8 ms for
-one of 100,000 at 150 engines, and 15.6 and 63 ms at 2,900 (processor time,
-median of 15 choices), on the loop that relays all streams.  So the engines are
-put in order by about how long new work would wait there, which is cheap, and
-only the first are compared: 0.24 and 1.1 ms at 150, 0.34 and 1.3 ms at 2,900.
+Computing the cost of every engine would block the event loop in large pools.
+So a sample of the engines is ranked by a cheap estimate of their wait, and
+only the best are compared in full.
 """
 
 import heapq
 
 from crankchute.core.engine_model import estimate_decode_ms
 
-#: How many engines are compared for a prompt that one engine reads, of those
-#: that short prompts may use freely and of the others.
-_SHORT = 16
-_SHORT_KEPT = 8
-#: The same for a prompt that several engines may read, up to 17 of them.
-_LONG = 24
-_LONG_KEPT = 24
-#: How many engines are put in order at all, a stretch of them that begins
-#: anywhere: the best of so many are about as good as the best of all.
-_MOST_ORDERED = 192
-#: What a request that writes there counts, in milliseconds of waiting: the
-#: pause that a read makes for it has about this chance to matter.
-_WRITER_MS = 30
-#: What a failure counts that is sure, in milliseconds of waiting.
-_RISK_MS = 1000
-#: What opening a connection counts, and an engine of another data centre, in
-#: seconds of waiting.  They take 1 to 5 ms; they count more because each
-#: costs processor at both ends, and traffic between data centres is paid for,
-#: and little enough to part only engines that are alike.  On a quiet day of 195
-#: instances and 150 engines 2,126 connections were opened for 8,300 requests,
-#: 4,662 before (one play each, with other changes).
-_CONNECT_S = 0.02
-_FAR_S = 0.01
+#: The number of engines compared for a short prompt: unreserved ones, and
+#: those reserved for long prompts.
+_SHORT_LIMIT = 16
+_SHORT_RESERVED_LIMIT = 8
+#: The same for a long prompt, whose prefill several engines may share.
+_LONG_LIMIT = 24
+_LONG_RESERVED_LIMIT = 24
+#: The size of the random sample of engines that are ranked.
+_MAX_RANKED = 192
+#: Penalty for each decoding request, in milliseconds of wait, since a prefill
+#: may delay it.
+_DECODE_PENALTY_MS = 30
+#: Penalty for a certain failure, in milliseconds of wait.
+_FAILURE_PENALTY_MS = 1000
+#: Penalties for a new connection and for an engine in another data centre, in
+#: seconds of wait.  They exceed the added latency, since connections cost CPU
+#: time at both ends and traffic between data centres costs money, but they
+#: are low enough to only break ties.
+_CONNECT_COST_S = 0.02
+_REMOTE_COST_S = 0.01
 _MS_PER_SECOND = 1000
 
 
 class Shortlist:
-    """Draws the engines to compare.
+    """Selects the engines of a pool to compare.
 
     Attributes:
-      kept: The ids of the engines that short prompts are kept off.
+      reserved_ids: The ids of the engines reserved for long prompts.
     """
 
     def __init__(self, parts):
@@ -57,98 +52,106 @@
         self._slots = parts.pool.figures.slots
         self._slot_ms = estimate_decode_ms(parts.pool.figures) / self._slots
         self._members = None
-        self._order = []
-        self._ordered = []
-        self._kept_count = 0
-        self.kept = frozenset()
+        self._shuffled = []
+        self._sorted_ids = []
+        self._reserved_count = 0
+        self.reserved_ids = frozenset()
 
-    def take(self, members):
-        """Take the engines of the pool.
+    def update_members(self, members):
+        """Set the engines of the pool.
 
-        Which of them short prompts are kept off follows from their ids, so
-        that every instance keeps short prompts off the same ones.
+        Reserved engines are chosen by id, so that all instances reserve the
+        same ones.
 
         Args:
-          members: The Backends; the same list while they do not change.
+          members: The Backends; the same list object while unchanged.
         """
         if members is self._members:
             return
         self._members = members
-        self._order = list(members)
-        self._random.shuffle(self._order)
-        self._ordered = sorted(one.identity for one in members)
-        self._kept_count = 0
+        self._shuffled = list(members)
+        self._random.shuffle(self._shuffled)
+        self._sorted_ids = sorted(backend.identity for backend in members)
+        self._reserved_count = 0
 
-    def divide(self, now_ms):
-        """Divide the engines between long and short prompts.
+    def update_reserved(self, now_ms):
+        """Reserve engines for long prompts according to demand.
 
         Args:
           now_ms: The time.
         """
         demand = self._board.demand
         share = demand.estimate_long_share(now_ms, self._slot_ms)
-        count = max(1, round(len(self._ordered) * share))
-        if count != self._kept_count:
-            self._kept_count = count
-            self.kept = frozenset(self._ordered[:count])
-
-    def draw_stretch(self):
-        """Return the engines to look at for one prompt, a list of Backend."""
-        if not self._order:
+        count = max(1, round(len(self._sorted_ids) * share))
+        if count != self._reserved_count:
+            self._reserved_count = count
+            self.reserved_ids = frozenset(self._sorted_ids[:count])
+
+    def sample_window(self):
+        """Return a random sample of the engines, a list of Backend."""
+        if not self._shuffled:
             return []
-        begin = self._random.randrange(len(self._order))
-        # Among engines that are alike the first are drawn, so the stretch
-        # begins elsewhere each time, and every instance has its own order.
-        turned = self._order[begin:] + self._order[:begin]
-        return turned[:_MOST_ORDERED]
+        start = self._random.randrange(len(self._shuffled))
+        # Ties go to the first engine, so the sample starts at a random place
+        # of an order that differs between instances.
+        rotated = self._shuffled[start:] + self._shuffled[:start]
+        return rotated[:_MAX_RANKED]
 
-    def draw(self, usable, now_ms, *, is_long):
+    def select(self, usable, now_ms, *, is_long):
         """Return the engines to compare, in any order.
 
         Args:
-          usable: The Backends that may be asked now.
+          usable: The Backends that accept requests now.
           now_ms: The time.
-          is_long: Whether several engines may read the prompt.
+          is_long: Whether several engines may share the prefill.
         Returns:
           A list of Backend.
         """
-        count, kept_count = _SHORT, _SHORT_KEPT
+        limit, reserved_limit = _SHORT_LIMIT, _SHORT_RESERVED_LIMIT
         if is_long:
-            count, kept_count = _LONG, _LONG_KEPT
-        if len(usable) <= count + kept_count:
+            limit, reserved_limit = _LONG_LIMIT, _LONG_RESERVED_LIMIT
+        if len(usable) <= limit + reserved_limit:
             return usable
-        free = [one for one in usable if one.identity not in self.kept]
-        others = [one for one in usable if one.identity in self.kept]
+        unreserved = [
+            backend
+            for backend in usable
+            if backend.identity not in self.reserved_ids
+        ]
+        reserved = [
+            backend
+            for backend in usable
+            if backend.identity in self.reserved_ids
+        ]
 
-        def burden(backend):
-            return self._weigh_burden(backend, now_ms)
+        def estimate_wait(backend):
+            return self._estimate_wait_ms(backend, now_ms)
 
         return [
-            *heapq.nsmallest(count, free, key=burden),
-            *heapq.nsmallest(kept_count, others, key=burden),
+            *heapq.nsmallest(limit, unreserved, key=estimate_wait),
+            *heapq.nsmallest(reserved_limit, reserved, key=estimate_wait),
         ]
 
-    def weigh_way(self, backend):
-        """Return what the way to an engine counts, in seconds of waiting.
+    def estimate_path_cost_s(self, backend):
+        """Return the network penalty of an engine, in seconds of wait.
 
         Args:
           backend: A Backend.
         """
-        way_s = 0
+        cost_s = 0
         if not self._is_connected(backend):
-            way_s += _CONNECT_S
+            cost_s += _CONNECT_COST_S
         if backend.listed.data_centre != self._data_centre:
-            way_s += _FAR_S
-        return way_s
+            cost_s += _REMOTE_COST_S
+        return cost_s
 
-    def _weigh_burden(self, backend, now_ms):
-        """Return about how long new work waits at an engine, in ms."""
+    def _estimate_wait_ms(self, backend, now_ms):
+        """Return a cheap estimate of the wait for an engine, with penalties."""
         state = self._board.state(backend.identity)
-        lacking = max(state.writers + 1 - self._slots, 0)
+        excess = max(state.writers + 1 - self._slots, 0)
         return (
             state.wait_ms(now_ms)
-            + state.writers * _WRITER_MS
-            + lacking * self._slot_ms
-            + backend.suspicion.chance(now_ms) * _RISK_MS
-            + self.weigh_way(backend) * _MS_PER_SECOND
+            + state.writers * _DECODE_PENALTY_MS
+            + excess * self._slot_ms
+            + backend.suspicion.chance(now_ms) * _FAILURE_PENALTY_MS
+            + self.estimate_path_cost_s(backend) * _MS_PER_SECOND
         )
--- a/crankchute/core/engine_shortlist_test.py
+++ b/crankchute/core/engine_shortlist_test.py
@@ -1,4 +1,4 @@
-"""Tests that a shortlist of engines chooses as well as comparing all."""
+"""Tests that shortlists hardly affect the quality of placements."""
 
 import random
 
@@ -11,14 +11,14 @@
 from crankchute.core.forward_fakes import make_backends, make_job, make_parts
 from crankchute.core.forward_job import PromptSize
 
-ALL = 10_000
-BOUNDS = 'crankchute.core.engine_shortlist'
-CHANCE_STARTED = 7
-OF_TEN = 10
+NO_LIMIT = 10_000
+MODULE = 'crankchute.core.engine_shortlist'
+STARTED_OF_TEN = 7
+TEN = 10
 
 
 def make_chooser(engines, seed, busy):
-    """Return a chooser over engines of which some read and some write."""
+    """Return an EngineChooser whose engines have random work."""
     backends = make_backends(engines)
     parts = make_parts(ManualTimers(), lambda: backends)
     parts.random = random.Random(seed)
@@ -27,40 +27,37 @@
         read_ms = parts.random.choice((5, 30, 300))
         work = make_work(f'work-{number}', engine, read_ms=read_ms)
         parts.board.add(work)
-        if parts.random.randrange(OF_TEN) < CHANCE_STARTED:
+        if parts.random.randrange(TEN) < STARTED_OF_TEN:
             parts.board.start(engine, work.key)
     return EngineChooser(parts)
 
 
-def compare_costs(engines, size, busy, monkeypatch):
-    """Return by how many thousandths of worth shortlists cost more.
-
-    It is a mean over random boards.
-    """
+def measure_extra_cost(engines, size, busy, monkeypatch):
+    """Return the mean extra cost of shortlists, in thousandths of worth."""
     job = make_job(size=size, goal_ms=2500, gap_ms=250)
     extra = 0
     for seed in range(30):
-        few = make_chooser(engines, seed, busy).choose(job, set())
+        shortlisted = make_chooser(engines, seed, busy).choose(job, set())
         with monkeypatch.context() as patch:
-            for name in ('_SHORT', '_LONG', '_MOST_ORDERED'):
-                patch.setattr(f'{BOUNDS}.{name}', ALL)
-            every = make_chooser(engines, seed, busy).choose(job, set())
-        extra += few.beliefs.cost - every.beliefs.cost
+            for name in ('_SHORT_LIMIT', '_LONG_LIMIT', '_MAX_RANKED'):
+                patch.setattr(f'{MODULE}.{name}', NO_LIMIT)
+            exhaustive = make_chooser(engines, seed, busy).choose(job, set())
+        extra += shortlisted.beliefs.cost - exhaustive.beliefs.cost
     return round(extra / 30 * 1000)
 
 
 @pytest.mark.parametrize('engines', [60, 150])
 @pytest.mark.parametrize('busy', [0.3, 0.7, 1.5])
 @pytest.mark.parametrize('tokens', [5_000, 45_000, 200_000])
-def test_choices_are_as_good_as_by_comparing_all(
+def test_shortlist_costs_little_more_than_full_comparison(
     engines, busy, tokens, monkeypatch
 ):
     size = PromptSize(tokens, 1000)
-    assert compare_costs(engines, size, busy, monkeypatch) < 10
+    assert measure_extra_cost(engines, size, busy, monkeypatch) < 10
 
 
 @pytest.mark.parametrize(
-    ('engines', 'is_long', 'most'),
+    ('engines', 'is_long', 'expected'),
     [
         (18, False, 18),
         (18, True, 18),
@@ -70,26 +67,26 @@
         (2900, True, 48),
     ],
 )
-def test_number_that_is_compared_does_not_grow(engines, is_long, most):
+def test_shortlist_size_is_bounded(engines, is_long, expected):
     backends = make_backends(engines)
     parts = make_parts(ManualTimers(), lambda: backends)
     parts.random = random.Random(1)
     shortlist = Shortlist(parts)
-    shortlist.take(backends)
-    shortlist.divide(0)
-    stretch = shortlist.draw_stretch()
-    assert len({one.identity for one in stretch}) == min(engines, 192)
-    drawn = shortlist.draw(stretch, 0, is_long=is_long)
-    assert len({one.identity for one in drawn}) == most
+    shortlist.update_members(backends)
+    shortlist.update_reserved(0)
+    window = shortlist.sample_window()
+    assert len({backend.identity for backend in window}) == min(engines, 192)
+    selected = shortlist.select(window, 0, is_long=is_long)
+    assert len({backend.identity for backend in selected}) == expected
 
 
-def test_every_engine_is_looked_at_sooner_or_later():
+def test_every_engine_is_sampled_eventually():
     backends = make_backends(600)
     parts = make_parts(ManualTimers(), lambda: backends)
     parts.random = random.Random(1)
     shortlist = Shortlist(parts)
-    shortlist.take(backends)
+    shortlist.update_members(backends)
     seen = set()
     for _ in range(40):
-        seen.update(one.identity for one in shortlist.draw_stretch())
+        seen.update(backend.identity for backend in shortlist.sample_window())
     assert len(seen) == 600
