--- a/bench/ablations.py
+++ b/bench/ablations.py
@@ -89,8 +89,8 @@
 _leave_out(
     'reports at the start',
     f'{_CORE}/load_survey.py',
-    '_MOST_ASKED = 64',
-    '_MOST_ASKED = 0',
+    '_MAX_POLLED = 64',
+    '_MAX_POLLED = 0',
 )
 _leave_out(
     'load told on answers',
--- a/crankchute/core/load_survey.py
+++ b/crankchute/core/load_survey.py
@@ -1,26 +1,23 @@
-"""Asking servers for their load when a process sends its first request.
+"""Initial poll of the servers' load at the first request of a process.
 
-A new process knows nothing of what servers work on.  The other instances tell
-what they sent, but not what instances sent that are gone: after a loss of all
-instances at once nobody else knows, and engines still work on what was sent
-before; short prompts would wait behind it.  Most instances of a large fleet send
-nothing and so ask nobody.
+Other instances announce their own work but not that of instances that are
+gone.  If all instances restart at once, only the servers know the work in
+progress.  Instances that send no requests do not poll.
 """
 
 import abc
 from functools import partial
 
-#: The most servers that are asked, so that a start costs the same however
-#: many there are.
-_MOST_ASKED = 64
+#: The maximum number of servers polled, which bounds the cost of a start.
+_MAX_POLLED = 64
 
 
 class ReportPort(abc.ABC):
-    """Asks servers for reports; every answer comes later, on the loop."""
+    """Polls servers; answers arrive asynchronously on the event loop."""
 
     @abc.abstractmethod
     def ask(self, backend, on_load):
-        """Ask a server for its load.
+        """Request a load report from a server.
 
         Args:
           backend: A Backend.
@@ -29,41 +26,42 @@
 
     @abc.abstractmethod
     def check(self, backend, path):
-        """Ask a server whether it is well; it says in its answer what it wants.
+        """Send a health check; the server states its limits in the response.
 
         Args:
           backend: A Backend.
-          path: Where it tells that.
+          path: The path of the health check.
         """
 
 
 class LoadSurvey:
-    """Asks for reports once in the life of a process."""
+    """Polls the servers once in the lifetime of a process."""
 
-    def __init__(self, port, random, take):
+    def __init__(self, port, random, record):
         """Create the survey.
 
         Args:
           port: A ReportPort.
           random: A random.Random.
-          take: A function of a Backend and a SeenLoad.
+          record: A function of a Backend and a SeenLoad.
         """
         self._port = port
         self._random = random
-        self._take = take
+        self._record = record
         self._is_done = False
 
     def run(self, list_members):
-        """Ask all servers, or some of them if there are many, once.
+        """Poll the servers, or a random sample of them, on the first call.
 
         Args:
-          list_members: A function that returns a list of Backend; called the
-            first time only, since this runs with each piece of work.
+          list_members: A function that returns a list of Backend.  Not called
+            again once it has returned servers, since run() is on the path of
+            every request.
         """
         if self._is_done:
             return
-        members = list_members()
-        self._is_done = bool(members)
-        count = min(len(members), _MOST_ASKED)
-        for backend in self._random.sample(members, count):
-            self._port.ask(backend, partial(self._take, backend))
+        servers = list_members()
+        self._is_done = bool(servers)
+        count = min(len(servers), _MAX_POLLED)
+        for backend in self._random.sample(servers, count):
+            self._port.ask(backend, partial(self._record, backend))
