--- a/crankchute/core/engine_chooser.py
+++ b/crankchute/core/engine_chooser.py
@@ -27,7 +27,7 @@
 )
 from crankchute.core.engine_shortlist import Shortlist
 from crankchute.core.forward_job import Beliefs, Helper, Placement
-from crankchute.core.length_demand import LONG_PROMPTS
+from crankchute.core.length_demand import LONG_PROMPT_FACTOR
 from crankchute.core.prompt_admission import (
     Prospect,
     PromptAdmission,
@@ -160,7 +160,7 @@
 
     def _make_plans(self, job, usable):
         """Return the Plans to compare."""
-        long_threshold = self._figures.usual_prompt * LONG_PROMPTS
+        long_threshold = self._figures.usual_prompt * LONG_PROMPT_FACTOR
         is_long = job.size.prompt > long_threshold
         candidates = self._make_candidates(usable, is_long=is_long)
         if is_long:
