--- a/crankchute/core/ownership.py
+++ b/crankchute/core/ownership.py
@@ -1,50 +1,53 @@
-"""Orders to engines, by the one instance that owns each, safely fenced.
-
-Ownership follows membership, so two instances may believe that they own an
-engine.  An engine that checks fences keeps the highest it saw and refuses
-lower ones.  For one that does not, a new owner waits until any lease of a
-former owner is over before it acts, and a former owner stops when its own
-lease is over; orders name the wanted state, so a late one is put right by the
-next pass.
+"""Ownership of engines and fencing of the orders to them.
+
+One instance owns each engine and sends its orders.  Ownership follows
+membership, so two instances may temporarily consider themselves the owner.
+An engine that supports fencing tokens rejects orders with a lower token than
+the highest it has seen.  For other engines, a new owner waits until the lease
+of a previous owner has expired, and a previous owner stops at the end of its
+lease.  Orders are declarative, so the next reconciliation corrects the effect
+of a delayed one.
 """
 
+#: How long a new owner waits before its first order to an engine without
+#: fencing.
 OWNER_LEASE_MS = 4000
 
 
 class Fence:
-    """The rank of an order: a later one has a higher rank.
+    """A fencing token; later orders have higher ones.
 
     Attributes:
-      revision: The configuration's revision that the order follows.
+      revision: The configuration revision of the order.
       incarnation: The owner's incarnation, an int.
-      sequence: The owner's own count of orders.
+      sequence: The sequence number among the owner's orders.
     """
 
     __slots__ = ('incarnation', 'revision', 'sequence')
 
     def __init__(self, revision, incarnation, sequence):
-        """Create a fence.
+        """Create a fencing token.
 
         Args:
-          revision: The configuration's revision.
+          revision: The configuration revision.
           incarnation: The owner's incarnation.
-          sequence: The owner's count of orders.
+          sequence: The sequence number among the owner's orders.
         """
         self.revision = revision
         self.incarnation = incarnation
         self.sequence = sequence
 
     def rank(self):
-        """Return the fence as a list that compares."""
+        """Return the token as a list that can be compared."""
         return [self.revision, self.incarnation, self.sequence]
 
 
 class Holding:
-    """What an engine holds, or shall hold.
+    """The loaded or wanted models, adapters and role of an engine.
 
     Attributes:
       models: A map from model name to version.
-      adapters: Names of adapters, sorted, a list.
+      adapters: A sorted list of adapter names.
       role: The engine's role, a string; empty if it has none.
     """
 
@@ -63,11 +66,11 @@
         self.role = role
 
     def __eq__(self, other):
-        """Return whether both hold the same."""
+        """Return whether both records are equal."""
         return self.as_document() == other.as_document()
 
     def __hash__(self):
-        """Return a hash that agrees with equality."""
+        """Return a hash consistent with equality."""
         return hash(tuple(sorted(self.models.items())))
 
     def as_document(self):
@@ -80,7 +83,7 @@
 
 
 class Order:
-    """The wanted state of an engine.
+    """An order to an engine: its wanted state.
 
     Attributes:
       fence: A Fence.
@@ -101,15 +104,15 @@
 
 
 class Ownership:
-    """Which engines this instance owns, and since when."""
+    """The engines that this instance owns."""
 
     def __init__(self):
-        """Create without any engine."""
+        """Create the record without engines."""
         self._owned_since = {}
         self._sequence = 0
 
     def update(self, backend_id, is_owner, now_ms):
-        """Note whether this instance believes that it owns an engine.
+        """Record whether this instance considers itself an engine's owner.
 
         Args:
           backend_id: The engine's id.
@@ -122,15 +125,15 @@
             self._owned_since.pop(backend_id, None)
 
     def owned(self):
-        """Return the ids of the engines owned now, a sorted list."""
+        """Return the ids of the owned engines, a sorted list."""
         return sorted(self._owned_since)
 
     def may_order(self, backend_id, checks_fences, now_ms):
-        """Tell whether an order may be sent now.
+        """Return whether an order may be sent now.
 
         Args:
           backend_id: The engine's id.
-          checks_fences: Whether the engine checks fences.
+          checks_fences: Whether the engine supports fencing tokens.
           now_ms: The time in milliseconds.
         """
         since_ms = self._owned_since.get(backend_id)
@@ -139,10 +142,10 @@
         return checks_fences or now_ms - since_ms >= OWNER_LEASE_MS
 
     def next_fence(self, revision, incarnation):
-        """Return the fence of the next order.
+        """Return the fencing token of the next order.
 
         Args:
-          revision: The configuration's revision in force.
+          revision: The active configuration revision.
           incarnation: This instance's incarnation.
         """
         self._sequence += 1
