--- a/crankchute/core/placement.py
+++ b/crankchute/core/placement.py
@@ -1,8 +1,8 @@
-"""Which engine holds which model, from labels and demand, with few moves.
+"""Assignment of models to the engines of a pool.
 
-The plan is a pure function of the configuration, the listed engines, what
-they hold now and the demand.  An engine keeps its model as long as its pool
-has enough of each; so small changes of demand move nothing.
+The plan is a pure function of the configuration, the listed engines, their
+loaded models and the demand.  An engine keeps its model unless the pool has
+too many engines with it, so small changes of demand cause no reloads.
 """
 
 import math
@@ -10,24 +10,26 @@
 
 from crankchute.core.hashing import rank_by_hash
 
-_SLACK = 1.25
-_WAVE_SHARE = 0.25
+#: Engines keep a model up to this multiple of the wanted number.
+_KEEP_MARGIN = 1.25
+#: The share of a pool that may change its version at the same time.
+_MAX_WAVE_SHARE = 0.25
 
 
 class EngineSlot:
-    """One engine of a pool, and the models that it holds now."""
+    """An engine of a pool and its loaded models."""
 
-    __slots__ = ('held', 'identity')
+    __slots__ = ('identity', 'loaded')
 
-    def __init__(self, identity, held):
+    def __init__(self, identity, loaded):
         """Create the record.
 
         Args:
           identity: The engine's id.
-          held: The names of the models that it holds, in any order.
+          loaded: The names of its loaded models, in any order.
         """
         self.identity = identity
-        self.held = tuple(held)
+        self.loaded = tuple(loaded)
 
 
 def plan_models(pool, slots, demand):
@@ -36,94 +38,98 @@
     Args:
       pool: A Pool.
       slots: The EngineSlots of its live engines.
-      demand: A map from model name to tokens a second; missing means 0.
+      demand: A map from model name to tokens per second; missing means 0.
     Returns:
       A map from engine id to model name.
     """
     if not pool.models or not slots:
         return {}
     wanted = count_engines(pool, len(slots), demand)
-    plan = _keep_held(slots, wanted)
-    free = {one.identity for one in slots if one.identity not in plan}
-    for model in _short_models(pool, wanted, plan)[: len(free)]:
-        chosen = rank_by_hash(model, free)[0]
-        free.remove(chosen)
+    plan = _keep_loaded(slots, wanted)
+    unassigned = {slot.identity for slot in slots if slot.identity not in plan}
+    for model in _list_missing_models(pool, wanted, plan)[: len(unassigned)]:
+        chosen = rank_by_hash(model, unassigned)[0]
+        unassigned.remove(chosen)
         plan[chosen] = model
-    busiest = max(pool.models, key=lambda one: demand.get(one, 0))
-    plan.update(dict.fromkeys(free, busiest))
+    most_demanded = max(pool.models, key=lambda model: demand.get(model, 0))
+    plan.update(dict.fromkeys(unassigned, most_demanded))
     return plan
 
 
 def count_engines(pool, total, demand):
-    """Share a pool's engines among its models by demand.
+    """Divide a pool's engines among its models by demand.
 
     Args:
       pool: A Pool.
-      total: How many engines it has.
-      demand: A map from model name to tokens a second.
+      total: The number of its engines.
+      demand: A map from model name to tokens per second.
     Returns:
       A map from model name to a number of engines; at least the pool's
-      minimum each as far as there are engines.
+      minimum for each if there are enough engines.
     """
-    floor = min(pool.min_engines, max(total // len(pool.models), 1))
-    counts = {model: floor for model in pool.models}
+    minimum = min(pool.min_engines, max(total // len(pool.models), 1))
+    counts = {model: minimum for model in pool.models}
     spare = total - sum(counts.values())
-    whole = sum(demand.get(model, 0) for model in pool.models)
-    if not whole or spare <= 0:
+    total_demand = sum(demand.get(model, 0) for model in pool.models)
+    if not total_demand or spare <= 0:
         return counts
     for model in pool.models:
-        share = demand.get(model, 0) / whole
+        share = demand.get(model, 0) / total_demand
         counts[model] += math.floor(spare * share)
     return counts
 
 
-def _keep_held(slots, wanted):
+def _keep_loaded(slots, wanted):
     plan = {}
     kept = dict.fromkeys(wanted, 0)
-    for slot in sorted(slots, key=lambda one: one.identity):
-        for model in slot.held:
-            allowed = math.ceil(wanted.get(model, 0) * _SLACK)
-            if model in kept and kept[model] < allowed:
+    for slot in sorted(slots, key=lambda slot: slot.identity):
+        for model in slot.loaded:
+            limit = math.ceil(wanted.get(model, 0) * _KEEP_MARGIN)
+            if model in kept and kept[model] < limit:
                 plan[slot.identity] = model
                 kept[model] += 1
                 break
     return plan
 
 
-def _short_models(pool, wanted, plan):
-    held = Counter(plan.values())
+def _list_missing_models(pool, wanted, plan):
+    loaded = Counter(plan.values())
     missing = Counter(wanted)
-    missing.subtract(held)
+    missing.subtract(loaded)
     return [model for model in missing.elements() if model in pool.models]
 
 
-def may_switch(identity, held, wanted):
-    """Tell whether an engine may change what it holds now.
+def may_switch(identity, loaded, wanted):
+    """Return whether an engine may change its models now.
 
-    Engines of a pool change in waves, in an order that every instance ranks
-    alike, so that most of the pool serves while a version is rolled out.
+    A version is rolled out in waves, in an order that all instances agree on,
+    so that most of the pool keeps serving.
 
     Args:
       identity: The engine's id.
-      held: A map from the id of each live engine of the pool to its Holding.
-      wanted: The Holding that the engine shall have.
+      loaded: A map from the id of each live engine of the pool to its Holding.
+      wanted: The Holding that the engine should have.
     Returns:
-      False if it holds that already, or must wait for others.
+      False if it is up to date or must wait for other engines.
     """
-    if held[identity] == wanted:
+    if loaded[identity] == wanted:
         return False
-    if not held[identity].models:
+    if not loaded[identity].models:
         return True
-    ranked = rank_by_hash(str(wanted.as_document()), held)
-    wave = max(1, math.floor(len(ranked) * _WAVE_SHARE))
-    before = ranked[: ranked.index(identity)]
-    behind = [one for one in before if not _agrees(held[one], wanted)]
-    return len(behind) < wave
-
-
-def _agrees(held, wanted):
-    """Tell whether no model is held at another version than wanted."""
-    return bool(held.models) and all(
-        held.models.get(model, version) == version
+    ranked = rank_by_hash(str(wanted.as_document()), loaded)
+    wave = max(1, math.floor(len(ranked) * _MAX_WAVE_SHARE))
+    predecessors = ranked[: ranked.index(identity)]
+    outdated = [
+        engine
+        for engine in predecessors
+        if not _matches_versions(loaded[engine], wanted)
+    ]
+    return len(outdated) < wave
+
+
+def _matches_versions(loaded, wanted):
+    """Return whether no loaded model differs from its wanted version."""
+    return bool(loaded.models) and all(
+        loaded.models.get(model, version) == version
         for model, version in wanted.models.items()
     )
