--- a/crankchute/core/policies.py
+++ b/crankchute/core/policies.py
@@ -1,8 +1,8 @@
-"""Policies that choose an engine for a request.
+"""Routing policies, which choose an engine for a request.
 
-A policy is a function of the candidates and a RoutingView, and returns one of
-the candidates.  The simple ones are the baselines that the chosen one is
-measured against; all of them can be named in the configuration.
+A policy is a function that takes the candidates and a RoutingView and returns
+one of the candidates.  The configuration selects a policy by name; the simple
+ones serve as baselines for benchmarks.
 """
 
 from crankchute.core.prefix import hash_blocks
@@ -10,20 +10,20 @@
 
 routing_policies = Registry()
 
-_FAR_PENALTY_MS = 4
+_REMOTE_PENALTY_MS = 4
 _STREAM_COST_MS = 0.5
-_NEAR_MS = 8
+_TIE_MARGIN_MS = 8
 
 
 class RoutingView:
-    """What a policy may look at besides the candidates.
+    """The input of a policy besides the candidates.
 
     Attributes:
-      job: The Job that is to be placed.
+      job: The Job to place.
       now_ms: The time in milliseconds.
       random: A random.Random.
-      data_centre: Where this instance runs.
-      counter: A number that rises by one with each choice.
+      data_centre: The data centre of this instance.
+      counter: A number that increases by one with each choice.
     """
 
     __slots__ = ('_hashes', 'counter', 'data_centre', 'job', 'now_ms', 'random')
@@ -35,7 +35,7 @@
           job: The Job.
           now_ms: The time in milliseconds.
           random: A random.Random.
-          data_centre: Where this instance runs.
+          data_centre: The data centre of this instance.
           counter: The number of the choice.
         """
         self.job = job
@@ -55,11 +55,11 @@
 
 
 def estimate_start_ms(backend, view):
-    """Predict the time until a request's first token on an engine.
+    """Estimate the time to the first token of a request on an engine.
 
-    Counts the prompt tokens that wait there, by the engine's last report and
-    by what this instance sent since, and the part of the prompt that is not
-    believed to be cached.
+    Includes the prompt tokens that are queued there, by the engine's last
+    report and the requests that this instance sent since, and the part of the
+    prompt that is not in the engine's prefix cache.
 
     Args:
       backend: A Backend.
@@ -68,23 +68,23 @@
       Milliseconds, a float.
     """
     load = backend.load
-    waiting = backend.tokens_ahead(view.job.engine_priority, view.now_ms)
-    own = _count_uncached(backend, view)
-    far = backend.listed.data_centre != view.data_centre
-    distance_ms = _FAR_PENALTY_MS if far else 0
+    queued = backend.tokens_ahead(view.job.engine_priority, view.now_ms)
+    uncached = _count_uncached(backend, view)
+    is_remote = backend.listed.data_centre != view.data_centre
+    distance_ms = _REMOTE_PENALTY_MS if is_remote else 0
     streams_ms = load.running * _STREAM_COST_MS
-    return (waiting + own) / load.prefill_rate + distance_ms + streams_ms
+    return (queued + uncached) / load.prefill_rate + distance_ms + streams_ms
 
 
 @routing_policies.register('random')
 def choose_random(candidates, view):
-    """Choose any engine."""
+    """Choose a random engine."""
     return view.random.choice(candidates)
 
 
 @routing_policies.register('round-robin')
 def choose_round_robin(candidates, view):
-    """Choose the engines in turn."""
+    """Choose the engines in round-robin order."""
     return candidates[view.counter % len(candidates)]
 
 
@@ -95,36 +95,41 @@
 
 
 @routing_policies.register('two-choices')
-def choose_of_two(candidates, view):
-    """Choose the better of two random engines, by own requests in flight."""
-    return min(_draw_two(candidates, view), key=_in_flight)
+def choose_better_of_two(candidates, view):
+    """Choose the one of two random engines with fewer requests in flight."""
+    return min(_sample_two(candidates, view), key=_in_flight)
 
 
 @routing_policies.register('earliest-start')
 def choose_earliest_start(candidates, view):
-    """Choose an engine where the first token is predicted about earliest.
+    """Choose an engine with a nearly minimal time to the first token.
 
-    Instances do not know of one another's choices.  Each chooses at random
-    among the engines that are nearly as good as the best, so that they do
-    not all run to the same one.
+    Instances do not see each other's choices, so each chooses at random among
+    the engines close to the best; otherwise all would pick the same one.
     """
-    starts = [(estimate_start_ms(one, view), one) for one in candidates]
-    soonest = min(start for start, _ in starts)
-    near = [one for start, one in starts if start <= soonest + _NEAR_MS]
-    return min(_draw_two(near, view), key=_in_flight)
+    starts = [
+        (estimate_start_ms(backend, view), backend) for backend in candidates
+    ]
+    earliest_ms = min(start_ms for start_ms, _ in starts)
+    best = [
+        backend
+        for start_ms, backend in starts
+        if start_ms <= earliest_ms + _TIE_MARGIN_MS
+    ]
+    return min(_sample_two(best, view), key=_in_flight)
 
 
 def _count_uncached(backend, view):
     cached = backend.prefix.count_bytes(view.hashes, view.now_ms)
-    whole = max(len(view.job.prompt), 1)
-    return view.job.tokens * (1 - min(cached / whole, 1))
+    total_bytes = max(len(view.job.prompt), 1)
+    return view.job.tokens * (1 - min(cached / total_bytes, 1))
 
 
 def _reported_load(backend):
     return backend.load.queued_tokens + backend.load.running
 
 
-def _draw_two(candidates, view):
+def _sample_two(candidates, view):
     return view.random.sample(candidates, min(len(candidates), 2))
 
 
