--- a/crankchute/core/prefix.py
+++ b/crankchute/core/prefix.py
@@ -1,15 +1,15 @@
-"""What is known of an engine's prefix cache, from events that have gaps.
+"""Index of an engine's prefix cache, built from its cache events.
 
-A prompt is cut into blocks; each block's hash covers all text before it, so
-one hash stands for a whole prefix.  Cache events carry a sequence number.  A
-gap means that evictions may have been missed, and all knowledge is dropped.
+A prompt is split into blocks.  The hash of a block covers all text up to its
+end, so it identifies a whole prefix.  Cache events have sequence numbers; a
+gap may hide evictions, so it clears the index.
 """
 
 import xxhash
 
 BLOCK_BYTES = 4096
-_MOST_BLOCKS = 256
-_OLDEST_KNOWLEDGE_MS = 10_000
+_MAX_BLOCKS = 256
+_MAX_AGE_MS = 10_000
 
 
 def hash_blocks(prompt, seed):
@@ -17,13 +17,13 @@
 
     Args:
       prompt: Bytes.
-      seed: Bytes that keep models apart.
+      seed: Bytes that distinguish models.
     Returns:
-      A list of ints, one for each whole block, at most 256.
+      A list of ints, one for each complete block, at most 256.
     """
     digest = xxhash.xxh64(seed)
     hashes = []
-    whole_blocks = min(len(prompt) // BLOCK_BYTES, _MOST_BLOCKS)
+    whole_blocks = min(len(prompt) // BLOCK_BYTES, _MAX_BLOCKS)
     for index in range(whole_blocks):
         start = index * BLOCK_BYTES
         digest.update(prompt[start : start + BLOCK_BYTES])
@@ -32,31 +32,31 @@
 
 
 class PrefixKnowledge:
-    """The blocks that an engine is believed to hold."""
+    """The blocks in an engine's cache, as far as its events tell."""
 
-    __slots__ = ('_at_ms', '_blocks', '_sequence')
+    __slots__ = ('_blocks', '_sequence', '_updated_ms')
 
     def __init__(self):
-        """Create empty knowledge."""
+        """Create an empty index."""
         self._blocks = set()
         self._sequence = None
-        self._at_ms = 0
+        self._updated_ms = 0
 
     @property
     def sequence(self):
-        """The sequence number of the newest event, or None."""
+        """The sequence number of the latest event, or None."""
         return self._sequence
 
     def forget(self):
-        """Drop everything, as after a gap or an engine's restart."""
+        """Clear the index, as after an engine's restart."""
         self._blocks.clear()
         self._sequence = None
 
     def note_event(self, sequence, stored, evicted, now_ms):
-        """Take one cache event.
+        """Apply a cache event.
 
         Args:
-          sequence: The event's number, an int; numbers follow without a gap.
+          sequence: The event's sequence number, an int; consecutive.
           stored: Hashes of blocks that were stored.
           evicted: Hashes of blocks that were evicted.
           now_ms: The time in milliseconds.
@@ -68,26 +68,26 @@
         self._sequence = sequence
         self._blocks.update(stored)
         self._blocks.difference_update(evicted)
-        self._at_ms = now_ms
+        self._updated_ms = now_ms
 
     def note_fresh(self, now_ms):
-        """Note that the engine had nothing newer to tell.
+        """Record that the engine has no newer events.
 
         Args:
           now_ms: The time in milliseconds.
         """
-        self._at_ms = now_ms
+        self._updated_ms = now_ms
 
     def count_bytes(self, hashes, now_ms):
-        """Return how much of a prompt is believed to be cached.
+        """Return the length of a prompt's cached prefix.
 
         Args:
-          hashes: What hash_blocks gave.
+          hashes: The result of hash_blocks.
           now_ms: The time in milliseconds.
         Returns:
-          Bytes; 0 if the knowledge is too old.
+          Bytes; 0 if the index is too old.
         """
-        if now_ms - self._at_ms > _OLDEST_KNOWLEDGE_MS:
+        if now_ms - self._updated_ms > _MAX_AGE_MS:
             return 0
         count = 0
         for block in hashes:
