--- a/crankchute/core/request_placing.py
+++ b/crankchute/core/request_placing.py
@@ -1,40 +1,43 @@
-"""Placing a request at once, or a moment later with the turn of another instance."""
+"""Placement of a request, if necessary with a turn of another instance.
+
+A turn is the right to send one request to a rate-limited server.
+"""
 
 from crankchute.core.choosers import NOT_WANTED
 from crankchute.core.forward_job import Placement
 
 
 def place_request(desk, flow, avoided, on_choice):
-    """Choose where a request's next attempt runs.
+    """Choose the server of a request's next attempt.
 
-    Where this instance has no turn at any server, others may have: callers come
-    to any instance, and few have a part of a low limit.
+    If this instance has no turn at any server, it tries to borrow one from
+    another instance, since a low rate limit is divided among few instances.
 
     Args:
       desk: The ForwardDesk.
       flow: The ForwardFlow.
-      avoided: Ids of servers that it must not be sent to again.
-      on_choice: A function of a Placement or a Refusal, called at once or once
-        other instances were asked; then the flow may have ended.
+      avoided: Ids of servers to exclude.
+      on_choice: A function of a Placement or a Refusal.  Called immediately,
+        or after other instances have answered, when the flow may have ended.
     """
     choice = desk.choose(flow, avoided)
-    # Whatever else speaks against it, such as servers that crashed under it, no
-    # turn helps.
+    # A turn does not help against refusals for other reasons, such as a
+    # request that crashes servers.
     if isinstance(choice, Placement) or choice.code != NOT_WANTED:
         on_choice(choice)
         return
     chooser = desk.chooser_of(flow.job.pool)
 
-    def take(server):
-        lent = None
+    def on_turn(server):
+        placement = None
         if server is not None and not flow.ended:
-            lent = chooser.choose_on_server(flow.job, server)
-        if isinstance(lent, Placement):
-            chooser.note_sent(flow.job, lent)
-            on_choice(lent)
+            placement = chooser.choose_on_server(flow.job, server)
+        if isinstance(placement, Placement):
+            chooser.note_sent(flow.job, placement)
+            on_choice(placement)
         else:
             desk.lending.give_back(server)
             on_choice(choice)
 
-    if not desk.lending.borrow(chooser.list_without_turn(avoided), take):
+    if not desk.lending.borrow(chooser.list_without_turn(avoided), on_turn):
         on_choice(choice)
--- a/crankchute/core/request_placing_test.py
+++ b/crankchute/core/request_placing_test.py
@@ -1,4 +1,4 @@
-"""Tests of requests that are placed with the turn of another instance."""
+"""Tests of the placement of requests with borrowed turns."""
 
 import pytest
 
@@ -9,14 +9,14 @@
 
 
 class World:
-    """A desk, its chooser and its lending, and the flow that asks."""
+    """Stands in for the desk, the chooser, the lending and the flow."""
 
-    def __init__(self, choice, lent, without_turn=('i-1', 'i-2')):
+    def __init__(self, choice, server_choice, without_turn=('i-1', 'i-2')):
         self.choice = choice
-        self.lent = lent
+        self.server_choice = server_choice
         self.without_turn = list(without_turn)
         self.asked = []
-        self.returned = []
+        self.given_back = []
         self.sent = []
         self.chosen = []
         self.lending = self
@@ -36,7 +36,7 @@
 
     def choose_on_server(self, _job, server):
         self.chosen.append(server)
-        return self.lent
+        return self.server_choice
 
     def note_sent(self, _job, placement):
         self.sent.append(placement)
@@ -47,52 +47,54 @@
         return bool(servers)
 
     def give_back(self, server):
-        self.returned.append(server)
+        self.given_back.append(server)
 
 
 PLACEMENT = Placement(None)
-OTHER = Placement(None)
+LENT_PLACEMENT = Placement(None)
 NO_TURN = refuse_not_run(NOT_WANTED, 'no turn')
-HELD = refuse_not_run('crashes_servers', 'servers crashed under it')
-CROWDED = refuse_not_run('crowded', 'others would be late')
+CRASHING = refuse_not_run('crashes_servers', 'servers crashed under it')
+OVERLOADED = refuse_not_run('crowded', 'others would be late')
 
 
-@pytest.mark.parametrize('choice', [PLACEMENT, HELD, CROWDED])
-def test_turn_is_asked_for_only_where_that_is_what_is_missing(choice):
-    """A request that crashes servers is not sent for a turn."""
-    world = World(choice, OTHER)
-    seen = []
-    place_request(world, world, set(), seen.append)
-    assert seen == [choice]
+@pytest.mark.parametrize('choice', [PLACEMENT, CRASHING, OVERLOADED])
+def test_turn_is_borrowed_only_if_that_is_all_that_is_missing(choice):
+    """For instance, no turn is borrowed for a request that crashes servers."""
+    world = World(choice, LENT_PLACEMENT)
+    outcomes = []
+    place_request(world, world, set(), outcomes.append)
+    assert outcomes == [choice]
     assert not world.asked
 
 
-def test_refusal_stands_at_once_where_nobody_has_turns():
-    world = World(NO_TURN, OTHER, without_turn=())
-    seen = []
-    place_request(world, world, set(), seen.append)
-    assert seen == [NO_TURN]
+def test_refusal_is_immediate_without_servers_to_borrow_for():
+    world = World(NO_TURN, LENT_PLACEMENT, without_turn=())
+    outcomes = []
+    place_request(world, world, set(), outcomes.append)
+    assert outcomes == [NO_TURN]
 
 
 @pytest.mark.parametrize(
-    ('server', 'lent', 'ended', 'seen', 'returned'),
+    ('server', 'server_choice', 'ended', 'expected', 'given_back'),
     [
-        ('i-2', OTHER, False, [OTHER], []),
-        (None, OTHER, False, [NO_TURN], [None]),
-        # It cannot run there, or is over: the turn is not kept for another.
-        ('i-2', HELD, False, [NO_TURN], ['i-2']),
-        ('i-2', OTHER, True, [NO_TURN], ['i-2']),
+        ('i-2', LENT_PLACEMENT, False, [LENT_PLACEMENT], []),
+        (None, LENT_PLACEMENT, False, [NO_TURN], [None]),
+        # The turn is not kept if the request cannot run there or has ended.
+        ('i-2', CRASHING, False, [NO_TURN], ['i-2']),
+        ('i-2', LENT_PLACEMENT, True, [NO_TURN], ['i-2']),
     ],
 )
-def test_lent_turn_is_used_at_its_server_or_given_back(
-    server, lent, ended, seen, returned
+def test_borrowed_turn_is_used_at_its_server_or_given_back(
+    server, server_choice, ended, expected, given_back
 ):
-    world = World(NO_TURN, lent)
-    told = []
-    place_request(world, world, set(), told.append)
-    assert not told
+    world = World(NO_TURN, server_choice)
+    outcomes = []
+    place_request(world, world, set(), outcomes.append)
+    assert not outcomes
     world.ended = ended
     world.waiting(server)
-    assert told == seen
-    assert world.returned == returned
-    assert world.sent == [one for one in told if one is OTHER]
+    assert outcomes == expected
+    assert world.given_back == given_back
+    assert world.sent == [
+        outcome for outcome in outcomes if outcome is LENT_PLACEMENT
+    ]
