--- a/bench/ablations.py
+++ b/bench/ablations.py
@@ -131,8 +131,8 @@
 _leave_out(
     'refusals for harm',
     f'{_CORE}/prompt_admission.py',
-    'is_sent = is_rare or is_worth_sending(prospect)',
-    'is_sent = True',
+    'is_admitted = is_underserved or is_worth_admitting(estimate)',
+    'is_admitted = True',
 )
 _leave_out(
     'suspicion',
--- a/crankchute/core/engine_chooser.py
+++ b/crankchute/core/engine_chooser.py
@@ -29,9 +29,9 @@
 from crankchute.core.forward_job import Beliefs, Helper, Placement
 from crankchute.core.length_demand import LONG_PROMPT_FACTOR
 from crankchute.core.prompt_admission import (
-    Prospect,
+    AdmissionEstimate,
     PromptAdmission,
-    refuse_crowded,
+    refuse_overloaded,
 )
 
 #: The default chooser of model engines.
@@ -94,7 +94,7 @@
         is_first_attempt = not avoided and job.resume_after is None
         if is_first_attempt and not self._sends(job, plan):
             remaining_ms = job.remaining_ms(self.now_ms())
-            return refuse_crowded(self._parts.hints, remaining_ms)
+            return refuse_overloaded(self._parts.hints, remaining_ms)
         return self._make_placement(job, plan)
 
     def silent_until_ms(self, job, attempt):
@@ -293,13 +293,13 @@
         )
 
     def _sends(self, job, plan):
-        prospect = Prospect(
+        estimate = AdmissionEstimate(
             plan.first_ms,
             self._remaining_goal_ms(job),
             worth=estimate_worth(self._figures, job),
             harm=plan.harm,
         )
-        return self._admission.sends(prospect, self.now_ms())
+        return self._admission.admits(estimate, self.now_ms())
 
     def _remaining_goal_ms(self, job):
         return job.goal_ms - (self.now_ms() - job.arrived_ms)
