--- a/crankchute/core/route_table.py
+++ b/crankchute/core/route_table.py
@@ -1,17 +1,17 @@
-"""Routes by host and longest path prefix, with weighted splits over pools."""
+"""Routing by host and longest path prefix, with weighted pool splits."""
 
 import xxhash
 
 from crankchute.core.forward_job import Repeat
 
-_SEGMENT = '/'
+_SEPARATOR = '/'
 _DIGEST_BITS = 64  # noqa: WPS432
-#: One more than the largest digest of eight bytes.
+#: The number of 64-bit digests.
 _DIGEST_RANGE = float(1 << _DIGEST_BITS)
 
 
 class PoolShare:
-    """A pool and its weight among those of a route."""
+    """A pool of a route and its weight."""
 
     __slots__ = ('pool', 'weight')
 
@@ -20,14 +20,14 @@
 
         Args:
           pool: The pool's name.
-          weight: A number, not negative.
+          weight: A non-negative number.
         """
         self.pool = pool
         self.weight = weight
 
 
 class Route:
-    """How requests of a host and path prefix are served.
+    """How requests for a host and path prefix are served.
 
     Attributes:
       name: The route's name.
@@ -35,13 +35,13 @@
       prefix: The path prefix; begins and ends with a slash.
       shares: A tuple of PoolShare.
       repeat: A Repeat.
-      is_stream: Whether answers are streams of events, a bool.
-      is_open: Whether requests need no key, a bool.
-      timeout_ms: The longest time to hold a request, in milliseconds.
-      goal_ms: The time within which an answer has its full worth.
-      gap_ms: The longest pause between events of full worth, or None.
-      priority: 0 (first) to 9.
-      max_attempts: To how many servers a request may be sent.
+      is_stream: Whether answers are event streams, a bool.
+      is_open: Whether requests need no API key, a bool.
+      timeout_ms: The maximum duration of a request, in milliseconds.
+      goal_ms: The latency goal of an answer, in milliseconds.
+      gap_ms: The goal for the time between events, or None.
+      priority: From 0 (highest) to 9.
+      max_attempts: The maximum number of servers a request is sent to.
     """
 
     __slots__ = (
@@ -70,13 +70,13 @@
 
     @property
     def may_repeat(self):
-        """Whether its requests may start more than once, a bool."""
+        """Whether its requests may be retried after they started, a bool."""
         return self.repeat != Repeat.ONCE
 
     def choose_pool(self, request_id):
-        """Choose the pool of a request by the weights of the split.
+        """Choose the pool of a request by weight.
 
-        The same request gets the same pool at every instance.
+        All instances choose the same pool for a request id.
 
         Args:
           request_id: The request's id, a string.
@@ -87,16 +87,16 @@
         if total <= 0:
             return None
         digest = xxhash.xxh64_intdigest(request_id.encode())
-        place = digest / _DIGEST_RANGE * total
+        position = digest / _DIGEST_RANGE * total
         for share in self.shares:
-            if place < share.weight:
+            if position < share.weight:
                 return share.pool
-            place -= share.weight
+            position -= share.weight
         return self.shares[-1].pool
 
 
 class RouteTable:
-    """Finds the route of a request."""
+    """Looks up the route of a request."""
 
     def __init__(self, routes):
         """Index the routes.
@@ -110,10 +110,10 @@
             prefixes[route.prefix] = route
 
     def find(self, host, path):
-        """Return the route whose prefix is the longest that begins the path.
+        """Return the route with the longest matching path prefix.
 
         Args:
-          host: The host asked for, with or without a port.
+          host: The requested host, with or without a port.
           path: The path, without its query.
         Returns:
           A Route, or None.
@@ -122,10 +122,10 @@
         prefixes = self._by_host.get(name)
         if prefixes is None:
             return None
-        end = path.rfind(_SEGMENT)
+        end = path.rfind(_SEPARATOR)
         while end >= 0:
             route = prefixes.get(path[: end + 1])
             if route is not None:
                 return route
-            end = path.rfind(_SEGMENT, 0, end)
+            end = path.rfind(_SEPARATOR, 0, end)
         return None
--- a/crankchute/core/route_table_test.py
+++ b/crankchute/core/route_table_test.py
@@ -1,4 +1,4 @@
-"""Tests of finding routes and of weighted splits."""
+"""Tests of route lookup and weighted pool splits."""
 
 from collections import Counter
 
@@ -50,7 +50,7 @@
         ('a.example', 'no-slash', None),
     ],
 )
-def test_longest_prefix_of_the_host(host, path, name):
+def test_longest_prefix_of_the_host_is_found(host, path, name):
     route = TABLE.find(host, path)
     assert (route and route.name) == name
 
@@ -66,17 +66,19 @@
 def test_split_follows_the_weights(shares, expected):
     route = make_route('split', 'a.example', '/', shares)
     count = 4000
-    seen = Counter(route.choose_pool(f'id-{one}') for one in range(count))
-    assert set(seen) == set(expected)
-    for pool, part in expected.items():
-        assert seen[pool] / count == pytest.approx(part, abs=0.03)
+    counts = Counter(
+        route.choose_pool(f'id-{number}') for number in range(count)
+    )
+    assert set(counts) == set(expected)
+    for pool, fraction in expected.items():
+        assert counts[pool] / count == pytest.approx(fraction, abs=0.03)
 
 
-def test_split_without_weight_has_no_pool():
+def test_split_without_weight_chooses_no_pool():
     route = make_route('none', 'a.example', '/', (('a', 0),))
     assert route.choose_pool('id') is None
 
 
-def test_same_request_has_the_same_pool():
+def test_pool_depends_on_the_request_id_only():
     route = make_route('split', 'a.example', '/', (('a', 1), ('b', 1)))
     assert len({route.choose_pool('id') for _ in range(5)}) == 1
