--- a/crankchute/core/placing_test.py
+++ b/crankchute/core/placing_test.py
@@ -1,4 +1,4 @@
-"""Tests of where things go: policies, candidates, placement, addresses."""
+"""Tests of routing, model placement, ownership and account addresses."""
 
 import random
 
@@ -47,13 +47,13 @@
 
 @pytest.mark.parametrize('name', sorted(routing_policies))
 def test_every_policy_chooses_a_candidate(name):
-    """A policy returns one of the engines it was given."""
+    """A policy returns one of the candidates."""
     candidates = list(_fleet())
     assert routing_policies[name](candidates, _view(make_job())) in candidates
 
 
 def test_earliest_start_avoids_long_queues_and_prefers_cached_prefixes():
-    """A queue repels a request, and a cached prefix attracts it."""
+    """Both change the estimated time to the first token."""
     queue = [(0, 5_000_000)]
     fleet = _fleet(
         engine_0={'queued_by_priority': queue},
@@ -69,7 +69,7 @@
 
 
 @pytest.mark.parametrize(
-    ('events', 'known'),
+    ('events', 'cached_blocks'),
     [
         ([(1, [7], [])], 1),
         ([(1, [7], []), (2, [], [7])], 0),
@@ -77,38 +77,40 @@
         ([(2, [7], []), (1, [], [7])], 1),
     ],
 )
-def test_prefix_knowledge(events, known):
-    """Evictions, gaps and late events are heeded."""
-    knowledge = PrefixKnowledge()
+def test_prefix_index_handles_evictions_gaps_and_late_events(
+    events, cached_blocks
+):
+    """A gap clears the index; old events and old knowledge are ignored."""
+    index = PrefixKnowledge()
     for sequence, stored, evicted in events:
-        knowledge.note_event(sequence, stored, evicted, 0)
-    assert knowledge.count_bytes([7], 0) == known * 4096
-    assert not knowledge.count_bytes([7], 60_000)
+        index.note_event(sequence, stored, evicted, 0)
+    assert index.count_bytes([7], 0) == cached_blocks * 4096
+    assert not index.count_bytes([7], 60_000)
 
 
 @pytest.mark.parametrize(
-    ('change', 'left'),
+    ('change', 'remaining'),
     [
         ({}, 4),
         ({'leaving': True}, 3),
         ({'models': {}}, 3),
     ],
 )
-def test_candidates(change, left):
-    """An engine that leaves or lacks the model gets no new work."""
+def test_ineligible_engines_are_no_candidates(change, remaining):
+    """An engine that is leaving or lacks the model gets no new work."""
     fleet = _fleet(engine_0=change)
     config = load_config(1, make_documents())
-    assert len(list_candidates(config, fleet, make_job(), 0)) == left
+    assert len(list_candidates(config, fleet, make_job(), 0)) == remaining
 
 
 def test_silent_engines_are_no_candidates():
-    """An engine whose report is old is not believed alive."""
+    """An engine with a stale load report gets no new work."""
     config = load_config(1, make_documents())
     assert not list_candidates(config, _fleet(), make_job(), 10_000)
 
 
-def test_long_prompts_stay_on_their_share():
-    """All instances choose the same engines for long prompts."""
+def test_long_prompts_use_their_share_of_the_engines():
+    """The choice is deterministic, so that all instances agree on it."""
     pool = {
         'name': 'text',
         'kind': 'model',
@@ -120,14 +122,14 @@
     config = load_config(1, make_documents(pools=[pool, service]))
     job = make_job(tokens=90_000)
     chosen = list_candidates(config, _fleet(), job, 0)
-    again = list_candidates(config, _fleet(), job, 0)
-    names = [one.identity for one in chosen]
-    assert len(names) == 2
-    assert names == [one.identity for one in again]
+    repeated = list_candidates(config, _fleet(), job, 0)
+    ids = [backend.identity for backend in chosen]
+    assert len(ids) == 2
+    assert ids == [backend.identity for backend in repeated]
 
 
-def test_breaker_opens_tries_once_and_closes():
-    """After failures one trial is let through; its end decides."""
+def test_breaker_opens_probes_and_closes():
+    """An open breaker admits one trial request, whose outcome decides."""
     breaker = Breaker()
     for _ in range(3):
         assert breaker.allows(0)
@@ -144,7 +146,7 @@
 
 
 def test_retry_budget_is_a_fraction_of_successes():
-    """Retries run out, and come back with successes only."""
+    """Only successes replenish the budget."""
     budget = RetryBudget()
     assert [budget.take() for _ in range(6)].count(True) == 5
     for _ in range(11):
@@ -153,7 +155,7 @@
     assert not budget.take()
 
 
-class _Waiting:
+class _QueuedFlow:
     def __init__(self, number, account, priority=5):
         self.job = make_job(
             request_id=f'r{number}',
@@ -163,12 +165,12 @@
 
 
 def test_queue_is_fair_by_weight_and_priority():
-    """A heavy account does not hold up a light one; urgent work goes first."""
+    """A heavy account does not delay a light one; priorities come first."""
     queue = FairQueue()
     for number in range(4):
-        queue.add(_Waiting(number, 'heavy'), 1)
-    queue.add(_Waiting(4, 'light'), 1)
-    queue.add(_Waiting(5, 'urgent', priority=1), 1)
+        queue.add(_QueuedFlow(number, 'heavy'), 1)
+    queue.add(_QueuedFlow(4, 'light'), 1)
+    queue.add(_QueuedFlow(5, 'urgent', priority=1), 1)
     order = []
     while queue:
         flow = queue.first()
@@ -178,8 +180,8 @@
     assert order.index('light') <= 2
 
 
-def test_plan_keeps_what_is_held():
-    """Without new demand nothing moves."""
+def test_plan_keeps_loaded_models():
+    """Unchanged demand causes no reloads."""
     pool = Pool(
         {
             'name': 'p',
@@ -199,7 +201,7 @@
 
 
 def test_plan_follows_demand_and_keeps_the_minimum():
-    """A model in demand gets more engines; each keeps at least one."""
+    """A model in demand gets more engines; every model keeps one."""
     pool = Pool(
         {
             'name': 'p',
@@ -210,27 +212,27 @@
     )
     slots = [EngineSlot(f'e{number}', []) for number in range(8)]
     plan = plan_models(pool, slots, {'a': 90, 'b': 10})
-    held = list(plan.values())
-    assert len(held) == 8
-    assert held.count('a') > held.count('b')
-    assert held.count('b') >= 1
+    loaded = list(plan.values())
+    assert len(loaded) == 8
+    assert loaded.count('a') > loaded.count('b')
+    assert loaded.count('b') >= 1
 
 
 def test_version_rolls_out_in_waves():
-    """Most of a pool keeps serving while a version changes."""
-    held = {f'e{number}': Holding({'a': 'v1'}) for number in range(8)}
+    """Most of the pool keeps serving during a rollout."""
+    loaded = {f'e{number}': Holding({'a': 'v1'}) for number in range(8)}
     wanted = Holding({'a': 'v2'})
     waves = 0
-    while any(one != wanted for one in held.values()):
-        changing = [name for name in held if may_switch(name, held, wanted)]
+    while any(holding != wanted for holding in loaded.values()):
+        changing = [name for name in loaded if may_switch(name, loaded, wanted)]
         assert 1 <= len(changing) <= 2
-        held.update(dict.fromkeys(changing, wanted))
+        loaded.update(dict.fromkeys(changing, wanted))
         waves += 1
     assert waves >= 4
 
 
-def test_unchecked_engines_get_orders_after_the_lease():
-    """A new owner waits where the engine does not check fences."""
+def test_engines_without_fencing_get_orders_after_the_lease():
+    """A new owner waits for the lease if the engine lacks fencing."""
     ownership = Ownership()
     ownership.update('e0', True, 0)
     assert ownership.may_order('e0', True, 0)
@@ -247,20 +249,20 @@
     ]
 
 
-def test_addresses_are_few_near_first_and_stable():
-    """A lost instance moves only the accounts that used it."""
+def test_addresses_are_few_local_first_and_stable():
+    """Losing an instance affects only the accounts that used it."""
     members = _members(12)
     before = choose_addresses(members, 'acc', 3, 'dc-1')
     assert len(before) == 3
-    near = [member.data_centre == 'dc-1' for member in before]
-    assert near == sorted(near, reverse=True)
-    others = [one for one in members if one not in before]
-    lost = [one for one in members if one is not others[0]]
-    assert choose_addresses(lost, 'acc', 3, 'dc-1') == before
+    is_local = [member.data_centre == 'dc-1' for member in before]
+    assert is_local == sorted(is_local, reverse=True)
+    others = [member for member in members if member not in before]
+    survivors = [member for member in members if member is not others[0]]
+    assert choose_addresses(survivors, 'acc', 3, 'dc-1') == before
 
 
-def test_draining_and_dead_instances_are_not_handed_out():
-    """Neither a draining nor a dead instance is in an answer."""
+def test_draining_and_dead_instances_are_not_returned():
+    """Neither accepts new requests of an account."""
     members = _members(2)
     members[0].draining = True
     members[1].status = Status.DEAD
@@ -268,18 +270,18 @@
 
 
 def test_two_readers_in_each_data_centre():
-    """Readers are few, and others take over when one is cut off."""
+    """Another instance takes over when a reader loses the platform."""
     members = _members(12)
-    readers = [one for one in members if is_reader(members, one)]
+    readers = [member for member in members if is_reader(members, member)]
     assert len(readers) == 6
     readers[0].reads_platform = False
-    changed = [one for one in members if is_reader(members, one)]
+    changed = [member for member in members if is_reader(members, member)]
     assert len(changed) == 6
     assert readers[0] not in changed
 
 
 def test_owner_is_local_and_alive():
-    """An engine is owned by an instance of its data centre if there is one."""
+    """An owner in the engine's data centre is preferred."""
     members = _members(6)
     owner = choose_owner(members, 'engine-0', 'dc-2')
     assert owner in {'n2', 'n5'}
@@ -287,8 +289,8 @@
     assert rank_by_hash('key', ['a', 'b']) == rank_by_hash('key', ['b', 'a'])
 
 
-def test_restarted_engine_loses_its_prefixes():
-    """Another boot id means that the cache is empty."""
+def test_restarted_engine_loses_its_prefix_cache():
+    """A new boot id means that the cache is empty."""
     backend = Backend(make_listed('engine-0'))
     backend.note_load(make_load(0))
     backend.prefix.note_event(1, [7], [], 0)
