--- a/crankchute/core/placement.py
+++ b/crankchute/core/placement.py
@@ -51,7 +51,7 @@
         chosen = rank_by_hash(model, unassigned)[0]
         unassigned.remove(chosen)
         plan[chosen] = model
-    most_demanded = max(pool.models, key=lambda model: demand.get(model, 0))
+    most_demanded = max(pool.models, key=lambda name: demand.get(name, 0))
     plan.update(dict.fromkeys(unassigned, most_demanded))
     return plan
 
--- a/crankchute/core/placing_test.py
+++ b/crankchute/core/placing_test.py
@@ -256,8 +256,8 @@
     assert len(before) == 3
     is_local = [member.data_centre == 'dc-1' for member in before]
     assert is_local == sorted(is_local, reverse=True)
-    others = [member for member in members if member not in before]
-    survivors = [member for member in members if member is not others[0]]
+    others = [other for other in members if other not in before]
+    survivors = [other for other in members if other is not others[0]]
     assert choose_addresses(survivors, 'acc', 3, 'dc-1') == before
 
 
