--- a/crankchute/core/choosers.py
+++ b/crankchute/core/choosers.py
@@ -72,7 +72,7 @@
 
 
 class Chooser(abc.ABC):
-    """Base class of the load balancers of one pool."""
+    """Chooses servers for the requests of one pool; a base class."""
 
     def __init__(self, parts):
         """Create the chooser.
@@ -210,14 +210,14 @@
         It has a retry hint if every server is pausing or rate limited, since
         the earliest end of that is known.
         """
-        first_ms = min(
+        earliest_ms = min(
             map(self._retry_delay_ms, self._parts.members()), default=0
         )
-        if first_ms > 0:
+        if earliest_ms > 0:
             return refuse_not_run(
                 NOT_WANTED,
                 'all backend servers of the pool are pausing or rate limited',
-                self._parts.hints.choose_after_ms(first_ms),
+                self._parts.hints.choose_after_ms(earliest_ms),
             )
         return refuse_not_run(
             'no_backend',
@@ -255,10 +255,10 @@
         """See Chooser; requests that must not be repeated have no timeout."""
         if job.repeat != Repeat.AGAIN:
             return None
-        allowed_ms = max(
+        timeout_ms = max(
             job.goal_ms * _RESPONSE_TIMEOUT_FACTOR, _MIN_RESPONSE_TIMEOUT_MS
         )
-        return attempt.heard_ms + allowed_ms
+        return attempt.heard_ms + timeout_ms
 
     def _load(self, backend):
         chance = backend.suspicion.chance(self.now_ms())
--- a/crankchute/core/engine_board.py
+++ b/crankchute/core/engine_board.py
@@ -151,8 +151,8 @@
         previous = self.slowness(now_ms)
         if ratio < _SLOW_THRESHOLD and previous < _SLOW_THRESHOLD:
             return
-        seen = min(max(ratio * previous, 1), _MAX_SLOWNESS)
-        self._slowness = previous + _SLOWNESS_WEIGHT * (seen - previous)
+        observed = min(max(ratio * previous, 1), _MAX_SLOWNESS)
+        self._slowness = previous + _SLOWNESS_WEIGHT * (observed - previous)
         self._slowness_at_ms = now_ms
 
     def note_load(self, load, now_ms):
@@ -273,10 +273,10 @@
 
     def _shorten_wait(self, now_ms):
         """Limit the predicted wait to the prefills still outstanding."""
-        left_ms = sum(
+        outstanding_ms = sum(
             work.read_ms for work in self.works.values() if not work.started
         )
-        until_ms = now_ms + left_ms * self.slowness(now_ms)
+        until_ms = now_ms + outstanding_ms * self.slowness(now_ms)
         self.read_until_ms = min(self.read_until_ms, until_ms)
 
 
--- a/crankchute/core/engine_chooser.py
+++ b/crankchute/core/engine_chooser.py
@@ -253,18 +253,20 @@
             ) * (delay + candidate.risk)
 
         ranked = sorted(candidates, key=estimate_cost)[:parts]
-        writer = min(
+        decoder = min(
             ranked,
             key=lambda candidate: _cost_of_memory(
                 self._figures, memory, candidate
             ),
         )
-        helpers = [candidate for candidate in ranked if candidate is not writer]
+        helpers = [
+            candidate for candidate in ranked if candidate is not decoder
+        ]
         cost = (
-            _cost_of_memory(self._figures, memory, writer)
+            _cost_of_memory(self._figures, memory, decoder)
             + parts * _COST_PER_ENGINE
         )
-        return self._plan(job, (writer, *helpers), read_ms, cost)
+        return self._plan(job, (decoder, *helpers), read_ms, cost)
 
     def _plan(self, job, chosen, read_ms, cost):
         first_ms = max(candidate.first_ms(read_ms) for candidate in chosen)
@@ -309,8 +311,8 @@
         key = f'{job.request_id}-{self._placement_count}'
         helpers = self._make_helpers(job, plan)
         reserved_tokens = sum(helper.tokens for helper in helpers)
-        writer = plan.chosen[0].backend
-        decoder_work = self._make_work(job, key, writer, plan)
+        decoder = plan.chosen[0].backend
+        decoder_work = self._make_work(job, key, decoder, plan)
         decoder_work.memory = max(job.size.memory - reserved_tokens, 0)
         decoder_work.is_writer = True
         works = [decoder_work]
@@ -319,7 +321,7 @@
             work.memory = helper.tokens
             works.append(work)
         placement = Placement(
-            writer,
+            decoder,
             first_ms=plan.first_ms,
             helpers=helpers,
             key=PlacementKey(tuple(works)),
@@ -328,8 +330,8 @@
         return placement
 
     def _make_beliefs(self, plan):
-        writer = plan.chosen[0]
-        state = writer.state
+        decoder = plan.chosen[0]
+        state = decoder.state
         writers = state.count_requests(self.now_ms(), self._decode_ms)
         return Beliefs(
             slowness=max(candidate.slowness for candidate in plan.chosen),
--- a/crankchute/core/engine_chooser_test.py
+++ b/crankchute/core/engine_chooser_test.py
@@ -44,7 +44,7 @@
         self.chooser.note_sent(job, placement)
         return job, placement
 
-    def add_writer(self, engine, gap_ms=250):
+    def add_decode(self, engine, gap_ms=250):
         work = make_work(f'writer-{engine}', engine, gap_ms=gap_ms)
         self.board.add(work)
         self.board.start(engine, work.key)
@@ -65,7 +65,7 @@
 def test_long_prompt_avoids_decoding_engines():
     world = World()
     for engine in ('server-00', 'server-01', 'server-02'):
-        world.add_writer(engine)
+        world.add_decode(engine)
     _job, placement = world.place(LONG, goal_ms=2500)
     assert engines_of(placement) == {'server-03'}
 
@@ -124,7 +124,7 @@
     engine = placement.backend.identity
     world.chooser.note_first(job, placement)
     world.chooser.note_end(job, placement)
-    changes = [change for change, where in world.announced if where == engine]
+    changes = [change for change, server in world.announced if server == engine]
     assert changes == [Change.SENT, Change.STARTED, Change.ENDED]
     assert not world.board.state(engine).works
     assert world.board.state(engine).memory == 0
@@ -175,9 +175,12 @@
     world.chooser.note_first(job, placement)
     before_ms = world.chooser.silent_until_ms(job, attempt)
     world.place(PromptSize(200_000, 100), goal_ms=2500)
-    read_ms = world.board.state(placement.backend.identity).read_until_ms
-    assert read_ms > 3000
-    assert world.chooser.silent_until_ms(job, attempt) == before_ms + read_ms
+    prefill_end_ms = world.board.state(placement.backend.identity).read_until_ms
+    assert prefill_end_ms > 3000
+    assert (
+        world.chooser.silent_until_ms(job, attempt)
+        == before_ms + prefill_end_ms
+    )
 
 
 def test_hanging_engine_is_suspected_before_callers_cancel():
