--- a/crankchute/core/prefix.py
+++ b/crankchute/core/prefix.py
@@ -32,7 +32,7 @@
 
 
 class PrefixKnowledge:
-    """The blocks in an engine's cache, as far as its events tell."""
+    """The blocks in an engine's cache, according to its events."""
 
     __slots__ = ('_blocks', '_sequence', '_updated_ms')
 
--- a/crankchute/core/request_placing_test.py
+++ b/crankchute/core/request_placing_test.py
@@ -15,7 +15,7 @@
         self.choice = choice
         self.server_choice = server_choice
         self.without_turn = list(without_turn)
-        self.asked = []
+        self.borrow_requests = []
         self.given_back = []
         self.sent = []
         self.chosen = []
@@ -23,7 +23,7 @@
         self.job = self
         self.pool = 'pool'
         self.ended = False
-        self.waiting = None
+        self.on_done = None
 
     def choose(self, _flow, _avoided):
         return self.choice
@@ -42,8 +42,8 @@
         self.sent.append(placement)
 
     def borrow(self, servers, on_done):
-        self.asked.append(servers)
-        self.waiting = on_done
+        self.borrow_requests.append(servers)
+        self.on_done = on_done
         return bool(servers)
 
     def give_back(self, server):
@@ -64,7 +64,7 @@
     outcomes = []
     place_request(world, world, set(), outcomes.append)
     assert outcomes == [choice]
-    assert not world.asked
+    assert not world.borrow_requests
 
 
 def test_refusal_is_immediate_without_servers_to_borrow_for():
@@ -92,7 +92,7 @@
     place_request(world, world, set(), outcomes.append)
     assert not outcomes
     world.ended = ended
-    world.waiting(server)
+    world.on_done(server)
     assert outcomes == expected
     assert world.given_back == given_back
     assert world.sent == [
