--- a/crankchute/core/engine_board.py
+++ b/crankchute/core/engine_board.py
@@ -102,7 +102,7 @@
 
     Attributes:
       works: A map from key to Work.
-      read_until_ms: The predicted end of all prefills sent so far.
+      prefill_until_ms: The predicted end of all prefills sent so far.
       memory: KV memory of the works, in tokens.
       writers: The number of works that the engine decodes.
     """
@@ -112,7 +112,7 @@
         '_slowness_at_ms',
         '_unreported',
         'memory',
-        'read_until_ms',
+        'prefill_until_ms',
         'works',
         'writers',
     )
@@ -120,7 +120,7 @@
     def __init__(self):
         """Create the state of an idle engine."""
         self.works = {}
-        self.read_until_ms = float(0)
+        self.prefill_until_ms = float(0)
         self._slowness = float(1)
         self._slowness_at_ms = float(0)
         self._unreported = UnknownLoad()
@@ -182,7 +182,7 @@
 
     def wait_ms(self, now_ms):
         """Return the queueing delay of a new prefill, in milliseconds."""
-        return max(self.read_until_ms - now_ms, 0)
+        return max(self.prefill_until_ms - now_ms, 0)
 
     def add(self, work, now_ms):
         """Add newly sent work.
@@ -200,9 +200,9 @@
         read_ms = work.read_ms * self.slowness(now_ms)
         if work.goes_first:
             self._postpone_waiting(work, read_ms)
-        start_ms = max(self.read_until_ms, now_ms)
-        self.read_until_ms = start_ms + read_ms
-        pause_ms = self.read_until_ms - now_ms + _TYPICAL_PASS_MS
+        start_ms = max(self.prefill_until_ms, now_ms)
+        self.prefill_until_ms = start_ms + read_ms
+        pause_ms = self.prefill_until_ms - now_ms + _TYPICAL_PASS_MS
         for other in self.works.values():
             if other.started and pause_ms > other.gap_ms:
                 other.is_delayed = True
@@ -277,7 +277,7 @@
             work.read_ms for work in self.works.values() if not work.started
         )
         until_ms = now_ms + outstanding_ms * self.slowness(now_ms)
-        self.read_until_ms = min(self.read_until_ms, until_ms)
+        self.prefill_until_ms = min(self.prefill_until_ms, until_ms)
 
 
 class EngineBoard:
--- a/crankchute/core/engine_chooser.py
+++ b/crankchute/core/engine_chooser.py
@@ -104,7 +104,7 @@
         the predicted end of the prefills that were sent to it.
         """
         state = self._board.state(attempt.backend.identity)
-        since_ms = max(attempt.heard_ms, state.read_until_ms)
+        since_ms = max(attempt.heard_ms, state.prefill_until_ms)
         if attempt.started:
             gap_ms = (job.gap_ms or 0) * _GAP_TIMEOUT_FACTOR
             return since_ms + max(gap_ms, _MIN_GAP_TIMEOUT_MS)
@@ -119,7 +119,7 @@
     def overdue_at_ms(self, job, attempt):
         """See Chooser."""
         state = self._board.state(attempt.backend.identity)
-        since_ms = max(attempt.heard_ms, state.read_until_ms)
+        since_ms = max(attempt.heard_ms, state.prefill_until_ms)
         first_ms = attempt.placement.first_ms or 0
         return since_ms + _OVERDUE_MS + first_ms * _OVERDUE_FACTOR
 
--- a/crankchute/core/engine_chooser_test.py
+++ b/crankchute/core/engine_chooser_test.py
@@ -175,7 +175,9 @@
     world.chooser.note_first(job, placement)
     before_ms = world.chooser.silent_until_ms(job, attempt)
     world.place(PromptSize(200_000, 100), goal_ms=2500)
-    prefill_end_ms = world.board.state(placement.backend.identity).read_until_ms
+    prefill_end_ms = world.board.state(
+        placement.backend.identity
+    ).prefill_until_ms
     assert prefill_end_ms > 3000
     assert (
         world.chooser.silent_until_ms(job, attempt)
@@ -217,7 +219,7 @@
     attempt.heard_ms = 0
     state = world.board.state(placement.backend.identity)
     due_ms = world.chooser.overdue_at_ms(job, attempt)
-    assert due_ms > state.read_until_ms + placement.first_ms
+    assert due_ms > state.prefill_until_ms + placement.first_ms
 
 
 @pytest.mark.parametrize(
