--- a/bench/ablations.py
+++ b/bench/ablations.py
@@ -89,8 +89,8 @@
 _leave_out(
     'reports at the start',
     f'{_CORE}/load_survey.py',
-    '_MOST_ASKED = 64',
-    '_MOST_ASKED = 0',
+    '_MAX_POLLED = 64',
+    '_MAX_POLLED = 0',
 )
 _leave_out(
     'load told on answers',
@@ -101,20 +101,20 @@
 _leave_out(
     'joint reading',
     f'{_CORE}/engine_chooser.py',
-    'most = min(_MOST_PARTS, len(helping))',
-    'most = least',
+    'max_parts = min(_MAX_PARTS, len(available))',
+    'max_parts = min_parts',
 )
 _leave_out(
     'memory set aside',
     f'{_CORE}/engine_plans.py',
-    '_SHARED_MEMORY = 0.5',
-    '_SHARED_MEMORY = 99',
+    '_MAX_MEMORY_SHARE = 0.5',
+    '_MAX_MEMORY_SHARE = 99',
 )
 _leave_out(
     'engines kept for long prompts',
     f'{_CORE}/engine_chooser.py',
-    '_LONG_PART_COST = 0.12',
-    '_LONG_PART_COST = 0',
+    '_RESERVED_ENGINE_COST = 0.12',
+    '_RESERVED_ENGINE_COST = 0',
 )
 _leave_out(
     'harm to others',
@@ -131,8 +131,8 @@
 _leave_out(
     'refusals for harm',
     f'{_CORE}/prompt_admission.py',
-    'is_sent = is_rare or is_worth_sending(prospect)',
-    'is_sent = True',
+    'is_admitted = is_underserved or is_worth_admitting(estimate)',
+    'is_admitted = True',
 )
 _leave_out(
     'suspicion',
@@ -143,8 +143,8 @@
 _leave_out(
     'slowness',
     f'{_CORE}/engine_board.py',
-    'return 1 + (self._slowness - 1) * faded',
-    'return 1 + 0 * faded',
+    'return 1 + (self._slowness - 1) * decay',
+    'return 1 + 0 * decay',
 )
 _leave_out(
     'breaker',
