--- a/crankchute/core/admission_test.py
+++ b/crankchute/core/admission_test.py
@@ -1,4 +1,4 @@
-"""Tests of how old the knowledge behind an admission may be."""
+"""Tests of the admission of keyed requests by configuration age."""
 
 from types import SimpleNamespace
 
@@ -17,11 +17,12 @@
         (False, 0, True),
         (False, 4301, True),
         (False, 600_000, True),
-        # Restarted without the platform: another instance told the version.
+        # Restarted during an outage of the platform: the configuration comes
+        # from a peer and was never confirmed.
         (False, None, True),
     ],
 )
-def test_only_strict_revocation_needs_a_young_proof(
+def test_only_strict_revocation_limits_the_proof_age(
     is_strict,
     age_ms,
     allowed,
