--- a/crankchute/core/hashing.py
+++ b/crankchute/core/hashing.py
@@ -1,37 +1,39 @@
-"""Hashing: the same choice, or the same name, everywhere without agreement."""
+"""Rendezvous hashing and request fingerprints.
+
+All instances compute the same results without coordination.
+"""
 
 from hashlib import sha256
 
 import xxhash
 
-#: Bytes of a fingerprint: of the 1,000 that an instance remembers at most, one
-#: in 10^16 requests has another's by chance.
+#: With 1,000 stored fingerprints, about one request in 10^16 collides.
 _FINGERPRINT_BYTES = 8
 _LENGTH_BYTES = 8
 
 
 def rank_by_hash(key, names):
-    """Order names by their hash with a key.
+    """Order names by rendezvous hashing.
 
-    When a name goes, only what it was first for moves to others.
+    Removing a name moves only the keys that ranked it first.
 
     Args:
       key: A string.
       names: An iterable of strings.
     Returns:
-      A list of the names, the first choice first.
+      A list of the names, the preferred one first.
     """
-    return sorted(names, key=lambda name: _score(key, name))
+    return sorted(names, key=lambda name: _hash_score(key, name))
 
 
 def make_fingerprint(*parts):
-    """Return a number that the same request has at every instance.
+    """Return a hash of a request that is equal at all instances.
 
-    A caller could choose a request that has another one's number if that were
-    easy to find, and get it refused; hence no short hash.
+    Uses a cryptographic hash: otherwise a caller could construct a request
+    that collides with another caller's and gets it refused.
 
     Args:
-      parts: Bytes that tell requests apart, such as the path and the body.
+      parts: Bytes that identify the request, such as the path and the body.
     Returns:
       An int of 64 bits.
     """
@@ -42,5 +44,5 @@
     return int.from_bytes(digest.digest()[:_FINGERPRINT_BYTES], 'big')
 
 
-def _score(key, name):
+def _hash_score(key, name):
     return xxhash.xxh64_intdigest(f'{key}|{name}'.encode())
