--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -211,8 +211,8 @@
         'an expired key may start',
         _CALLS,
         'crankchute/core/keys.py',
-        'if not now_ms < key.expiry_ms <= now_ms + self._longest_ms:',
-        'if key.expiry_ms > now_ms + self._longest_ms:',
+        'if not now_ms < key.expiry_ms <= now_ms + self._max_lifetime_ms:',
+        'if key.expiry_ms > now_ms + self._max_lifetime_ms:',
     ),
     Mutation(
         'an invalid revision is taken',
--- a/crankchute/core/keys.py
+++ b/crankchute/core/keys.py
@@ -1,13 +1,13 @@
-"""Keys of requests that may run once, and the ledger that enforces it.
+"""Idempotency keys, and a ledger that runs each of them at most once.
 
-A request that is not repeatable is bound by its caller to one incarnation of
-one entry instance.  Only that incarnation may dispatch the key, and only once.
-No agreement between instances is needed: another incarnation of the same
-instance has another boot id and refuses the key.
+The caller of a non-repeatable request binds it to one process of one entry
+instance.  Only this process may dispatch the key, and only once, so instances
+need no coordination: after a restart, the instance has another boot id and
+refuses the key.
 
-The key carries its expiry on the clock of the incarnation that issued the
-binding.  An expired key is always refused, so the ledger may forget a key at
-its expiry without ever running it twice.
+The key contains its expiry on the clock of the process that issued the
+binding.  Expired keys are always refused, so the ledger can drop a key at its
+expiry without the risk that it runs again.
 """
 
 import enum
@@ -16,12 +16,12 @@
 
 _SEPARATOR = '.'
 _PART_COUNT = 4
-_KEEP_BYTES = 65_536
-_KEEP_TOTAL_BYTES = 16_777_216
+_MAX_ANSWER_BYTES = 65_536
+_MAX_STORED_BYTES = 16_777_216
 
 
 class Binding:
-    """One incarnation of one entry instance."""
+    """Identifies one process of one entry instance."""
 
     __slots__ = ('boot', 'instance')
 
@@ -36,11 +36,11 @@
         self.boot = boot
 
     def __eq__(self, other):
-        """Return whether both name the same incarnation."""
+        """Return whether both identify the same process."""
         return (self.instance, self.boot) == (other.instance, other.boot)
 
     def __hash__(self):
-        """Return a hash that agrees with equality."""
+        """Return a hash consistent with equality."""
         return hash((self.instance, self.boot))
 
 
@@ -54,8 +54,8 @@
 
         Args:
           binding: A Binding.
-          expiry_ms: The last millisecond at which the key may start, on the
-            clock of the bound incarnation, an int.
+          expiry_ms: The expiry on the clock of the bound process, in
+            milliseconds, an int.
           nonce: A string without a dot, unique for the caller.
         """
         self.binding = binding
@@ -63,7 +63,7 @@
         self.nonce = nonce
 
     def __str__(self):
-        """Return the key as it is sent."""
+        """Return the serialized key."""
         parts = (
             self.binding.instance,
             self.binding.boot,
@@ -74,14 +74,14 @@
 
 
 def parse_key(text):
-    """Read a key.
+    """Parse a serialized key.
 
     Args:
-      text: What str() of a RequestKey gave.
+      text: The result of str() of a key.
     Returns:
       A RequestKey.
     Raises:
-      BadKeyError: If the text is not a key.
+      BadKeyError: If the text is not a valid key.
     """
     parts = text.split(_SEPARATOR)
     if len(parts) != _PART_COUNT or not all(parts):
@@ -93,22 +93,22 @@
 
 
 class Claim(enum.Enum):
-    """What the ledger says of a submitted key."""
+    """The result of claiming a key."""
 
-    #: The caller of the ledger must dispatch the request now, once.
+    #: The key is new; the claimer must dispatch the request now.
     FIRST = enum.auto()
-    #: The request is running; its end will be told to those who wait.
+    #: The request is running; waiters are notified when it ends.
     RUNNING = enum.auto()
-    #: The request has ended; the ledger may still hold the answer.
+    #: The request has ended; its answer may still be stored.
     ENDED = enum.auto()
-    #: The key is past its expiry, or has one too far ahead.
+    #: The key has expired, or its expiry is too far ahead.
     EXPIRED = enum.auto()
-    #: The key belongs to another incarnation.
+    #: The key is bound to another process.
     FOREIGN = enum.auto()
 
 
 class LedgerEntry:
-    """What is remembered of one key until its expiry."""
+    """The state of one claimed key."""
 
     __slots__ = ('answer', 'ended', 'expiry_ms', 'size', 'waiters')
 
@@ -116,7 +116,7 @@
         """Create the entry of a request that starts.
 
         Args:
-          expiry_ms: When the entry may be forgotten.
+          expiry_ms: When the entry may be dropped.
         """
         self.expiry_ms = expiry_ms
         self.ended = False
@@ -126,37 +126,37 @@
 
 
 class KeyLedger:
-    """The keys that this incarnation has dispatched."""
+    """The keys that this process has dispatched."""
 
-    def __init__(self, binding, longest_ms):
+    def __init__(self, binding, max_lifetime_ms):
         """Create an empty ledger.
 
         Args:
-          binding: The Binding of this incarnation.
-          longest_ms: The longest life of a key, in milliseconds.
+          binding: The Binding of this process.
+          max_lifetime_ms: The longest accepted time to expiry.
         """
         self._binding = binding
-        self._longest_ms = longest_ms
+        self._max_lifetime_ms = max_lifetime_ms
         self._entries = {}
-        self._kept_bytes = 0
+        self._stored_bytes = 0
 
     def __len__(self):
-        """Return how many keys are remembered."""
+        """Return the number of entries."""
         return len(self._entries)
 
     def claim(self, account, key, now_ms):
-        """Decide what is to be done with a submission.
+        """Claim a key for dispatch.
 
         Args:
           account: The client account's name.
           key: A RequestKey.
-          now_ms: The time on this incarnation's clock.
+          now_ms: The time on this process's clock.
         Returns:
           A Claim.
         """
         if key.binding != self._binding:
             return Claim.FOREIGN
-        if not now_ms < key.expiry_ms <= now_ms + self._longest_ms:
+        if not now_ms < key.expiry_ms <= now_ms + self._max_lifetime_ms:
             return Claim.EXPIRED
         entry = self._entries.get((account, str(key)))
         if entry is None:
@@ -166,53 +166,56 @@
         return Claim.ENDED if entry.ended else Claim.RUNNING
 
     def wait(self, account, key, callback):
-        """Ask to be told the end of a running request.
+        """Register a callback for the end of a running request.
 
         Args:
           account: The client account's name.
-          key: A RequestKey that is running.
+          key: The RequestKey of a running request.
           callback: A function of the answer.
         """
         self._entries[account, str(key)].waiters.append(callback)
 
     def end(self, account, key, answer, size):
-        """Note the end of a request and tell those who wait.
+        """Mark a request as ended and notify its waiters.
 
         Args:
           account: The client account's name.
-          key: A RequestKey that was claimed first.
-          answer: Any value; kept if it is small enough.
+          key: A RequestKey that was claimed.
+          answer: Any value; stored if it fits the size limits.
           size: The answer's size in bytes.
         """
         entry = self._entries.get((account, str(key)))
         if entry is None or entry.ended:
             return
         entry.ended = True
-        if size <= _KEEP_BYTES and self._kept_bytes + size <= _KEEP_TOTAL_BYTES:
+        if (
+            size <= _MAX_ANSWER_BYTES
+            and self._stored_bytes + size <= _MAX_STORED_BYTES
+        ):
             entry.answer = answer
             entry.size = size
-            self._kept_bytes += size
+            self._stored_bytes += size
         waiters = entry.waiters
         entry.waiters = []
         for callback in waiters:
             callback(answer)
 
     def answer(self, account, key):
-        """Return the kept answer of an ended request, or None.
+        """Return the stored answer of an ended request, or None.
 
         Args:
           account: The client account's name.
-          key: A RequestKey that has ended.
+          key: The RequestKey of an ended request.
         """
         return self._entries[account, str(key)].answer
 
     def forget_expired(self, now_ms):
-        """Forget ended keys past their expiry; claim refuses them anyway.
+        """Drop the entries of ended requests whose keys have expired.
 
         Args:
-          now_ms: The time on this incarnation's clock.
+          now_ms: The time on this process's clock.
         """
         for name, entry in tuple(self._entries.items()):
             if entry.ended and entry.expiry_ms < now_ms:
-                self._kept_bytes -= entry.size
+                self._stored_bytes -= entry.size
                 self._entries.pop(name)
