--- a/crankchute/core/labels.py
+++ b/crankchute/core/labels.py
@@ -1,23 +1,23 @@
-"""Labels and the selectors that operators tie things together with."""
+"""Label selectors."""
 
 
 def match_labels(selector, labels):
-    """Tell whether a thing with these labels is selected.
+    """Return whether labels match a selector.
 
     Args:
-      selector: A map of label names to a string, or to a list of strings any
-        of which will do.  An empty selector selects everything.
+      selector: A map of label names to a string, or to a list of allowed
+        strings.  An empty selector matches everything.
       labels: A map of label names to strings.
     Returns:
       A bool.
     """
     return all(
-        _match_one(wanted, labels.get(name))
-        for name, wanted in selector.items()
+        _matches_value(allowed, labels.get(name))
+        for name, allowed in selector.items()
     )
 
 
-def _match_one(wanted, present):
-    if isinstance(wanted, str):
-        return present == wanted
-    return present in wanted
+def _matches_value(allowed, actual):
+    if isinstance(allowed, str):
+        return actual == allowed
+    return actual in allowed
