--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -247,7 +247,7 @@
         'each instance takes a whole limit for itself',
         'crankchute/platform/limited_servers_test.py',
         'crankchute/core/limit_shares.py',
-        'return self.part / len(holders) if instance in holders else 0',
+        'return self.share_factor / len(holders) if instance in holders else 0',
         'return 1',
     ),
     Mutation(
@@ -261,8 +261,8 @@
         'who is cut off takes over what others had',
         'crankchute/core/limit_shares_test.py',
         'crankchute/core/limit_shares.py',
-        'if present > len(lost):',
-        'if present:',
+        'if reachable_count > len(unreachable):',
+        'if reachable_count:',
     ),
     Mutation(
         'an answer that crossed ends a limit',
@@ -282,8 +282,8 @@
         'orders and questions do not count',
         'crankchute/core/turn_lending_test.py',
         'crankchute/core/limit_turns.py',
-        'self._fill(server).take(self._rate(server))',
-        'self._fill(server)',
+        'self._refill(server).take(self._rate(server))',
+        'self._refill(server)',
     ),
     Mutation(
         'a turn that is lent does not count',
@@ -303,8 +303,8 @@
         'nobody asks whether a limit goes on',
         'crankchute/core/limit_turns_test.py',
         'crankchute/core/limit_questions.py',
-        'self._ask(word.server)',
-        'self._asked_ms[word.server] = now_ms',
+        'self._send_probe(limit.server)',
+        'self._probed_ms[limit.server] = now_ms',
     ),
     Mutation(
         'a rest ends with an entry that lapses',
--- a/crankchute/core/limit_desk.py
+++ b/crankchute/core/limit_desk.py
@@ -1,25 +1,24 @@
-"""All that an instance knows and does about limits that servers name."""
+"""Rate limits that backend servers advertise, as one instance applies them."""
 
-from crankchute.core.limit_questions import LimitQuestions
-from crankchute.core.limit_shares import LimitShares, SharerFinder
+from crankchute.core.limit_questions import LimitProber
+from crankchute.core.limit_shares import LimitShares, ParticipantTracker
 from crankchute.core.limit_turns import LimitTurns
 from crankchute.core.server_limits import ServerLimits
 
-#: How often an instance looks who divides limits with it.
-_LOOK_MS = 250
+_PARTICIPANT_POLL_MS = 250
 
 
 class LimitDesk:
-    """The limits of servers at one instance.
+    """The rate limits of backend servers at one instance.
 
     Attributes:
-      words: The ServerLimits.
-      turns: The LimitTurns.
-      shares: The LimitShares.
+      words: The limits that servers advertise.
+      turns: The permits of this instance to send to these servers.
+      shares: This instance's shares of the limits.
     """
 
     def __init__(self, timers, instance, boot):
-        """Create the desk of a process that starts.
+        """Create the limits of a process that starts.
 
         Args:
           timers: A TimerService.
@@ -27,27 +26,31 @@
           boot: The random id of its process.
         """
         self._timers = timers
-        self._finder = SharerFinder(instance)
+        self._participant_tracker = ParticipantTracker(instance)
         self.shares = LimitShares(timers.clock, instance)
         self.words = ServerLimits(timers.clock, f'{instance}-{boot}')
         self.turns = LimitTurns(timers.clock, self.words, self.shares)
 
-    def start(self, list_active, is_lost, ask):
-        """Begin to look who divides limits, and to ask whether they go on.
+    def start(self, list_active, is_unreachable, send_probe):
+        """Start tracking the participants and probing limited servers.
 
         Args:
           list_active: A function that returns the ids of the instances that
             callers are sent to.
-          is_lost: A function of an id that tells whether that instance does
-            not answer, though it did not say that it leaves.
-          ask: A function of a server's id that asks it anything.
+          is_unreachable: A function of an id that returns whether that
+            instance does not respond though it did not announce its leave.
+          send_probe: A function of a server's id that sends it any request.
         """
 
-        def look():
+        def update_participants():
             now_ms = self._timers.clock.now_ms()
-            sharers = self._finder.find(list_active(), is_lost, now_ms)
-            self.shares.note(sharers)
-
-        look()
-        self._timers.every(_LOOK_MS, look)
-        LimitQuestions(self._timers, self.words, self.shares, ask)
+            participants = self._participant_tracker.update(
+                list_active(),
+                is_unreachable,
+                now_ms,
+            )
+            self.shares.update(participants)
+
+        update_participants()
+        self._timers.every(_PARTICIPANT_POLL_MS, update_participants)
+        LimitProber(self._timers, self.words, self.shares, send_probe)
--- a/crankchute/core/limit_questions.py
+++ b/crankchute/core/limit_questions.py
@@ -1,55 +1,58 @@
-"""Asks servers whether the limits that they named go on.
+"""Probes backend servers to find out whether their rate limits still apply.
 
-A limit ends with an answer without it.  Where it is so low that nobody is sent to
-the server, or others are better, no answer comes by itself.  One of the instances
-that know of it asks, so that the question takes little of the limit.
+A server lifts its limit by an answer that does not advertise one.  If the limit
+is so low that the server gets no requests, there are no answers, so one of the
+instances that know of the limit probes it, to use little of the limit.
 """
 
-from crankchute.core.limit_turns import ASK_MS
+from crankchute.core.limit_turns import PROBE_INTERVAL_MS
 
-_CHECK_MS = 500
-#: After so long without a word of a limit, from anybody, any instance asks.
-_UNTOLD_MS = 10_000
+_CHECK_INTERVAL_MS = 500
+#: A limit that was not refreshed for this long is probed by any instance.
+_UNREFRESHED_PROBE_MS = 10_000
 
 
-class LimitQuestions:
-    """Asks about the limits that fall to one instance."""
+class LimitProber:
+    """Probes the servers that this instance is responsible for."""
 
-    def __init__(self, timers, limits, shares, ask):
-        """Create the part, and begin.
+    def __init__(self, timers, limits, shares, send_probe):
+        """Start to probe.
 
         Args:
           timers: A TimerService.
-          limits: ServerLimits.
-          shares: LimitShares.
-          ask: A function of a server's id that asks it anything.
+          limits: The limits that servers advertise.
+          shares: This instance's shares of the limits.
+          send_probe: A function of a server's id that sends it any request.
         """
         self._clock = timers.clock
         self._limits = limits
         self._shares = shares
-        self._ask = ask
-        self._asked_ms = {}
-        timers.every(_CHECK_MS, self._check)
+        self._send_probe = send_probe
+        self._probed_ms = {}
+        timers.every(_CHECK_INTERVAL_MS, self._check)
 
     def _check(self):
         now_ms = self._clock.now_ms()
-        self._asked_ms = {
-            server: asked_ms
-            for server, asked_ms in self._asked_ms.items()
-            if now_ms - asked_ms < ASK_MS
+        self._probed_ms = {
+            server: probed_ms
+            for server, probed_ms in self._probed_ms.items()
+            if now_ms - probed_ms < PROBE_INTERVAL_MS
         }
-        for word in self._limits.list_limited():
-            is_asked = word.server in self._asked_ms
-            if not is_asked and self._is_due(word, now_ms):
-                self._asked_ms[word.server] = now_ms
-                self._ask(word.server)
+        for limit in self._limits.list_limited():
+            is_recently_probed = limit.server in self._probed_ms
+            if not is_recently_probed and self._is_due(limit, now_ms):
+                self._probed_ms[limit.server] = now_ms
+                self._send_probe(limit.server)
 
-    def _is_due(self, word, now_ms):
-        """Tell whether this instance has to ask about a limit.
+    def _is_due(self, limit, now_ms):
+        """Return whether this instance must probe the server of a limit.
 
-        Whoever should ask may know that it ended, and have told it in vain.
+        The responsible instance may have learned that the limit was lifted
+        while its update did not arrive here, so others probe after a while.
         """
-        age_ms = now_ms - word.at_ms
-        if age_ms < ASK_MS:
+        age_ms = now_ms - limit.at_ms
+        if age_ms < PROBE_INTERVAL_MS:
             return False
-        return age_ms >= _UNTOLD_MS or self._shares.is_first(word.server)
+        return age_ms >= _UNREFRESHED_PROBE_MS or self._shares.is_first_holder(
+            limit.server
+        )
--- a/crankchute/core/limit_shares.py
+++ b/crankchute/core/limit_shares.py
@@ -1,132 +1,142 @@
-"""Which part of a server's limit an instance may use.
-
-The limit binds the sum over all instances, and nobody counts for them.  Those
-that callers are sent to divide it: each server has a few holders among them,
-chosen by hash, more of them the more it takes, so that a part is not too small to
-be of use.  All that know the same instances know the same holders.
-
-Instances differ for a moment in whom they know.  So a part counts once it has
-been this instance's for a whole window: whoever had it before knows better by
-then.  An instance that most of the others are lost to cannot tell whether they
-are gone; it takes over nothing and uses less of its own, so that both sides of a
-cut together stay within what servers stand.
+"""Division of backend servers' rate limits among instances.
+
+A limit applies to the requests of all instances together, and no component
+counts them centrally.  For each server, the instances that callers are sent to
+choose a few holders by hash, more for a higher limit, and divide it equally, so
+that each share is large enough to use.  Instances with the same view choose the
+same holders.
+
+Views differ for a short time after a change.  An instance therefore uses a new
+or larger share only after a whole window, when the previous holder has seen the
+change too.  An instance that cannot reach most of the others cannot tell whether
+they have failed or a network partition separates them: it takes over no shares
+and reduces its own, so that both sides together stay within the limits.
 """
 
 from math import floor
 
 from crankchute.core.hashing import rank_by_hash
 
-#: The time over which servers count what reaches them, in milliseconds.
+#: The period over which servers count requests, in milliseconds.
 WINDOW_MS = 4000
-#: Stands for the part of a server that was not looked for yet.
-_NO_PART = (None, 0)
-#: What an instance that is cut off uses of its own part.
-_CUT_OFF_PART = 0.25
-#: How long an instance that was active counts as one of those that may be lost.
-_REMEMBER_MS = 30_000
+_NOT_CACHED = (None, 0)
+#: The factor on the share of an instance that cannot reach most of the others.
+_MINORITY_SHARE_FACTOR = 0.25
+#: How long an instance that is no longer active counts as a participant that
+#: may be unreachable.
+_ACTIVE_RETENTION_MS = 30_000
 
 
-class Sharers:
-    """The instances that divide limits, as one of them sees it.
+class Participants:
+    """The instances that divide limits, in the view of one of them.
 
     Attributes:
       instances: Their ids, a sorted tuple.
-      part: How much of its own part this instance uses, from 0 to 1.
+      share_factor: The usable fraction of this instance's share, from 0 to 1.
     """
 
-    __slots__ = ('instances', 'part')
+    __slots__ = ('instances', 'share_factor')
 
-    def __init__(self, instances, part=1):
-        """Create the record.
+    def __init__(self, instances, share_factor=1):
+        """Create the view.
 
         Args:
           instances: An iterable of ids.
-          part: See the class.
+          share_factor: See the class.
         """
         self.instances = tuple(sorted(instances))
-        self.part = part
+        self.share_factor = share_factor
 
     def is_same(self, other):
-        """Tell whether another record says the same.
+        """Return whether two views are equal.
 
         Args:
-          other: A Sharers.
+          other: A Participants.
         """
-        return self.instances == other.instances and self.part == other.part
+        return (
+            self.instances == other.instances
+            and self.share_factor == other.share_factor
+        )
 
-    def part_of(self, instance, server, limit):
-        """Return which part of a limit an instance may use, from 0 to 1.
+    def share_of(self, instance, server, limit):
+        """Return the fraction of a limit that an instance may use.
 
         Args:
           instance: Its id.
           server: The server's id.
-          limit: Requests a second.
+          limit: Requests per second.
         """
         holders = self.list_holders(server, limit)
-        return self.part / len(holders) if instance in holders else 0
+        return self.share_factor / len(holders) if instance in holders else 0
 
     def list_holders(self, server, limit):
-        """Return the ids of the instances that have a part of a limit, a list.
+        """Return the ids of the instances with a share of a limit, a list.
 
         Args:
           server: The server's id.
-          limit: Requests a second.
+          limit: Requests per second.
         """
         count = min(len(self.instances), floor(limit) + 1)
         return rank_by_hash(server, self.instances)[:count]
 
 
-class SharerFinder:
-    """Finds out who divides limits, by who is active and who is lost."""
+class ParticipantTracker:
+    """Determines the participants from active and unreachable instances."""
 
     def __init__(self, own):
-        """Create the finder of an instance that knows of nobody.
+        """Create the tracker of an instance that knows no others.
 
         Args:
           own: Its id.
         """
         self._own = own
-        self._active_ms = {}
+        self._last_active_ms = {}
 
-    def find(self, active, is_lost, now_ms):
-        """Return the Sharers.
+    def update(self, active, is_unreachable, now_ms):
+        """Record the active instances and return the participants.
 
         Args:
           active: The ids of the instances that callers are sent to.
-          is_lost: A function of an id that tells whether that instance does
-            not answer, though it did not say that it leaves.
-          now_ms: The time.
+          is_unreachable: A function of an id that returns whether that
+            instance does not respond though it did not announce its leave.
+          now_ms: The time in milliseconds.
+        Returns:
+          A Participants.
         """
-        self._active_ms = {
+        self._last_active_ms = {
             instance: active_ms
-            for instance, active_ms in self._active_ms.items()
-            if now_ms - active_ms < _REMEMBER_MS
+            for instance, active_ms in self._last_active_ms.items()
+            if now_ms - active_ms < _ACTIVE_RETENTION_MS
         }
-        self._active_ms.update(dict.fromkeys(active, now_ms))
-        known = {self._own, *self._active_ms}
-        lost = [one for one in known if one != self._own and is_lost(one)]
-        present = len(known) - len(lost)
-        if present > len(lost):
-            return Sharers(active)
-        is_half = present == len(lost)
-        return Sharers(known, 1 if is_half else _CUT_OFF_PART)
+        self._last_active_ms.update(dict.fromkeys(active, now_ms))
+        known = {self._own, *self._last_active_ms}
+        unreachable = [
+            other
+            for other in known
+            if other != self._own and is_unreachable(other)
+        ]
+        reachable_count = len(known) - len(unreachable)
+        if reachable_count > len(unreachable):
+            return Participants(active)
+        is_half = reachable_count == len(unreachable)
+        return Participants(known, 1 if is_half else _MINORITY_SHARE_FACTOR)
 
 
 class _View:
-    """Sharers, and since when they are those."""
+    """Participants, and since when they are in effect."""
 
-    __slots__ = ('sharers', 'since_ms')
+    __slots__ = ('participants', 'since_ms')
 
-    def __init__(self, sharers, since_ms):
-        self.sharers = sharers
+    def __init__(self, participants, since_ms):
+        self.participants = participants
         self.since_ms = since_ms
 
 
 class LimitShares:
-    """The parts of all limits that one instance may use."""
+    """One instance's shares of all limits."""
 
     def __init__(self, clock, own):
-        """Create the shares of a process that starts, and has none.
+        """Create the shares of a process that starts and has none.
 
         Args:
           clock: A Clock.
@@ -134,58 +144,58 @@
         """
         self._clock = clock
         self._own = own
-        self._parts = {}
-        self._views = [_View(Sharers(()), clock.now_ms())]
+        self._cached_shares = {}
+        self._views = [_View(Participants(()), clock.now_ms())]
 
-    def note(self, sharers):
-        """Take who divides limits from now on.
+    def update(self, participants):
+        """Set the participants.
 
         Args:
-          sharers: Sharers.
+          participants: A Participants.
         """
-        if not sharers.is_same(self._views[-1].sharers):
-            self._views.append(_View(sharers, self._clock.now_ms()))
-            self._parts = {}
+        if not participants.is_same(self._views[-1].participants):
+            self._views.append(_View(participants, self._clock.now_ms()))
+            self._cached_shares = {}
 
     def part_of(self, server, limit):
-        """Return the least part that was this instance's within the window.
+        """Return this instance's smallest share of a limit in the window.
 
         Args:
           server: The server's id.
-          limit: Requests a second.
+          limit: Requests per second.
         Returns:
-          A float from 0 to 1.
+          A fraction from 0 to 1.
         """
         self._drop_old()
-        known_limit, part = self._parts.get(server, _NO_PART)
+        known_limit, share = self._cached_shares.get(server, _NOT_CACHED)
         if known_limit != limit:
-            part = min(
-                one.sharers.part_of(self._own, server, limit)
-                for one in self._views
+            share = min(
+                view.participants.share_of(self._own, server, limit)
+                for view in self._views
             )
-            self._parts[server] = (limit, part)
-        return part
+            self._cached_shares[server] = (limit, share)
+        return share
 
     def list_holders(self, server, limit):
-        """Return the ids of the instances that have a part of a limit now.
+        """Return the ids of the instances that now have a share of a limit.
 
         Args:
           server: The server's id.
-          limit: Requests a second.
+          limit: Requests per second.
         """
-        return self._views[-1].sharers.list_holders(server, limit)
+        return self._views[-1].participants.list_holders(server, limit)
 
-    def is_first(self, server):
-        """Tell whether this instance is the one that asks after a server.
+    def is_first_holder(self, server):
+        """Return whether this instance is the one that probes a server.
 
         Args:
           server: The server's id.
         """
-        return self._views[-1].sharers.part_of(self._own, server, 0) > 0
+        return self._views[-1].participants.share_of(self._own, server, 0) > 0
 
     def _drop_old(self):
-        """Forget views that ended a window ago."""
+        """Drop views that were replaced at least a window ago."""
         oldest_ms = self._clock.now_ms() - WINDOW_MS
         while len(self._views) > 1 and self._views[1].since_ms <= oldest_ms:
             self._views.pop(0)
-            self._parts = {}
+            self._cached_shares = {}
--- a/crankchute/core/limit_shares_test.py
+++ b/crankchute/core/limit_shares_test.py
@@ -1,114 +1,132 @@
-"""Tests of how instances divide the limits of servers."""
+"""Tests of the division of server limits among instances."""
 
 import pytest
 
 from crankchute.core.fakes import ManualTimers
-from crankchute.core.limit_shares import LimitShares, SharerFinder, Sharers
+from crankchute.core.limit_shares import (
+    LimitShares,
+    ParticipantTracker,
+    Participants,
+)
 
-NAMES = tuple(f'entry-{number}' for number in range(8))
+INSTANCES = tuple(f'entry-{number}' for number in range(8))
 _WINDOW_MS = 4000
 _LATER_MS = 40_000
 
 
-def sum_parts(limit, instances):
-    """Return which part of a limit instances use together."""
-    sharers = Sharers(instances)
-    return sum(sharers.part_of(one, 'i-1', limit) for one in instances)
+def sum_shares(limit, instances):
+    """Return the sum of the shares of all instances."""
+    participants = Participants(instances)
+    return sum(
+        participants.share_of(instance, 'i-1', limit) for instance in instances
+    )
 
 
 @pytest.mark.parametrize('limit', [0, 0.25, 1, 1.5, 2, 7, 8, 100, 1_000_000])
 @pytest.mark.parametrize('count', [1, 2, 3, 8])
-def test_parts_add_up_to_the_whole(limit, count):
-    assert sum_parts(limit, NAMES[:count]) == pytest.approx(1)
+def test_shares_add_up_to_the_whole_limit(limit, count):
+    assert sum_shares(limit, INSTANCES[:count]) == pytest.approx(1)
 
 
 @pytest.mark.parametrize(
     ('limit', 'holders'),
     [(0, 1), (0.5, 1), (1, 2), (2.9, 3), (8, 8), (500, 8)],
 )
-def test_what_is_little_has_few_holders(limit, holders):
-    sharers = Sharers(NAMES)
-    parts = [sharers.part_of(one, 'i-1', limit) for one in NAMES]
-    assert sum(part > 0 for part in parts) == holders
+def test_low_limit_has_few_holders(limit, holders):
+    participants = Participants(INSTANCES)
+    shares = [
+        participants.share_of(instance, 'i-1', limit) for instance in INSTANCES
+    ]
+    assert sum(share > 0 for share in shares) == holders
 
 
 def test_servers_have_different_holders():
-    sharers = Sharers(NAMES)
-    held = {
-        one
+    participants = Participants(INSTANCES)
+    holders = {
+        instance
         for server in range(40)
-        for one in NAMES
-        if sharers.part_of(one, f'i-{server}', 0)
+        for instance in INSTANCES
+        if participants.share_of(instance, f'i-{server}', 0)
     }
-    assert held == set(NAMES)
+    assert holders == set(INSTANCES)
 
 
-class World:
-    """The shares of one instance, which is the only one at first."""
+class SharesHarness:
+    """The shares of one instance, without participants at first."""
 
     def __init__(self):
         self.timers = ManualTimers()
-        self.shares = LimitShares(self.timers.clock, NAMES[0])
+        self.shares = LimitShares(self.timers.clock, INSTANCES[0])
 
     @property
-    def part(self):
+    def share(self):
         return self.shares.part_of('i-1', 100)
 
 
-def test_part_counts_once_it_has_stood_for_a_window():
-    """Whoever had it before may not have heard of the change."""
-    world = World()
-    world.shares.note(Sharers(NAMES[:4]))
-    assert not world.part
-    world.timers.advance(_WINDOW_MS)
-    assert world.part == 1 / 4
-    world.shares.note(Sharers(NAMES[:2]))
-    assert world.part == 1 / 4
-    world.timers.advance(_WINDOW_MS)
-    assert world.part == 1 / 2
-    # What is given up is given up at once.
-    world.shares.note(Sharers(NAMES))
-    assert world.part == 1 / 8
-
-
-def test_view_that_lasts_for_a_moment_gives_nothing():
-    """One that knows nobody for a second does not take what others have."""
-    world = World()
-    world.shares.note(Sharers(NAMES))
-    world.timers.advance(_WINDOW_MS)
+def test_larger_share_takes_effect_after_a_window():
+    """The previous holder may not have seen the change yet."""
+    harness = SharesHarness()
+    harness.shares.update(Participants(INSTANCES[:4]))
+    assert not harness.share
+    harness.timers.advance(_WINDOW_MS)
+    assert harness.share == 1 / 4
+    harness.shares.update(Participants(INSTANCES[:2]))
+    assert harness.share == 1 / 4
+    harness.timers.advance(_WINDOW_MS)
+    assert harness.share == 1 / 2
+    # A smaller share takes effect at once.
+    harness.shares.update(Participants(INSTANCES))
+    assert harness.share == 1 / 8
+
+
+def test_short_lived_view_does_not_enlarge_the_share():
+    """An instance alone for a second does not take over other shares."""
+    harness = SharesHarness()
+    harness.shares.update(Participants(INSTANCES))
+    harness.timers.advance(_WINDOW_MS)
     for _ in range(10):
-        world.shares.note(Sharers(NAMES[:1]))
-        world.timers.advance(1000)
-        world.shares.note(Sharers(NAMES))
-        world.timers.advance(1000)
-        assert world.part == 1 / 8
+        harness.shares.update(Participants(INSTANCES[:1]))
+        harness.timers.advance(1000)
+        harness.shares.update(Participants(INSTANCES))
+        harness.timers.advance(1000)
+        assert harness.share == 1 / 8
 
 
 @pytest.mark.parametrize(
-    ('lost', 'members', 'part'),
+    ('unreachable_count', 'participant_count', 'share_factor'),
     [
         (0, 3, 1),
         (1, 3, 1),
         (3, 3, 1),
-        # As many are lost as are left: nobody takes anything over.
+        # Two equal halves: neither takes over any shares.
         (4, 8, 1),
         (5, 8, 0.25),
         (7, 8, 0.25),
     ],
 )
-def test_who_lost_most_of_the_others_takes_nothing_over(lost, members, part):
-    """It cannot tell whether they are gone, or it is cut off itself."""
-    finder = SharerFinder(NAMES[0])
-    finder.find(NAMES, lambda _one: False, 0)
-    gone = set(NAMES[-lost:]) if lost else set()
-    sharers = finder.find(NAMES[:3], gone.__contains__, 1000)
-    assert len(sharers.instances) == members
-    assert sharers.part == part
-
-
-def test_who_was_lost_long_ago_counts_no_more():
-    finder = SharerFinder(NAMES[0])
-    finder.find(NAMES, lambda _one: False, 0)
-    is_lost = set(NAMES[1:]).__contains__
-    sharers = finder.find(NAMES[:1], is_lost, _LATER_MS)
-    assert sharers.is_same(Sharers(NAMES[:1]))
+def test_minority_takes_over_no_shares(
+    unreachable_count,
+    participant_count,
+    share_factor,
+):
+    """Unreachable instances may run on the other side of a partition."""
+    tracker = ParticipantTracker(INSTANCES[0])
+    tracker.update(INSTANCES, lambda _instance: False, 0)
+    unreachable = (
+        set(INSTANCES[-unreachable_count:]) if unreachable_count else set()
+    )
+    participants = tracker.update(
+        INSTANCES[:3],
+        unreachable.__contains__,
+        1000,
+    )
+    assert len(participants.instances) == participant_count
+    assert participants.share_factor == share_factor
+
+
+def test_instance_inactive_for_long_is_ignored():
+    tracker = ParticipantTracker(INSTANCES[0])
+    tracker.update(INSTANCES, lambda _instance: False, 0)
+    is_unreachable = set(INSTANCES[1:]).__contains__
+    participants = tracker.update(INSTANCES[:1], is_unreachable, _LATER_MS)
+    assert participants.is_same(Participants(INSTANCES[:1]))
--- a/crankchute/core/limit_turns.py
+++ b/crankchute/core/limit_turns.py
@@ -1,10 +1,10 @@
-"""When an instance may send the next request to a server that names a limit.
+"""Permits to send requests to backend servers that advertise a rate limit.
 
-Its part of the limit fills a bucket that holds hardly more than one request, so
-that no window begins with a burst, after a pause as little as at first.  All that
-is sent to the server is counted, whatever it is: requests, orders, questions.
-What may not wait, such as the release of memory, is sent all the same, and later
-requests wait the longer.
+A token bucket per server enforces this instance's share of the limit.  Its
+capacity is small, so that there is no burst after an idle period or at the
+start.  Everything sent to the server takes a token: requests, memory
+reservations and probes.  Messages that may not wait, such as the release of
+memory, are sent even without a token and delay later requests.
 """
 
 from collections import Counter
@@ -13,158 +13,159 @@
 from crankchute.core.limit_shares import WINDOW_MS
 
 _MS_PER_SECOND = 1000
-#: What a bucket holds: the requests of so many milliseconds, one at least.
-_DEPTH_MS = 500
-#: After so long without an answer of a server with a limit it is asked whether
-#: the limit goes on, since it may be too low for anybody to be sent there.
-ASK_MS = 2500
-#: Servers that take less than this of an instance, in requests a second, help at
-#: no prompt of others: orders alone would use it up.
-_LEAST_TO_HELP = 2
-#: Sums of parts may miss a whole request by so much.
+#: The capacity of a bucket, as the time in which it fills; at least one token.
+_BURST_MS = 500
+#: A limited server that did not answer for this long is probed, since its limit
+#: may be too low for it to get any requests.
+PROBE_INTERVAL_MS = 2500
+#: A server needs this rate at an instance, in requests per second, to take part
+#: in joint reads; memory reservations would use up a lower one.
+_MIN_HELPER_RATE = 2
+#: Tolerance for rounding errors in token counts.
 _EPSILON = 1e-9
 
 
-class _Bucket:
-    """What one instance may send to one server.
+class _TokenBucket:
+    """The tokens of one instance for one server.
 
     Attributes:
-      requests: How many at once, a float; below zero after it sent more.
-      at_ms: When that was.
+      tokens: Requests that may be sent now, a float; negative after more were
+        sent than the limit allows.
+      updated_ms: When the tokens were last computed.
     """
 
-    __slots__ = ('at_ms', 'requests')
+    __slots__ = ('tokens', 'updated_ms')
 
     def __init__(self, now_ms):
-        self.requests = inf
-        self.at_ms = now_ms
+        self.tokens = inf
+        self.updated_ms = now_ms
 
-    def fill(self, rate, now_ms):
-        """Let it fill until now.
+    def refill(self, rate, now_ms):
+        """Add the tokens earned since the last refill.
 
         Args:
-          rate: Requests a millisecond.
-          now_ms: The time.
+          rate: Requests per millisecond.
+          now_ms: The time in milliseconds.
         """
-        self.requests += (now_ms - self.at_ms) * rate
-        self.at_ms = now_ms
-        most = max(1, rate * _DEPTH_MS) if rate else 0
-        self.requests = min(self.requests, most)
+        self.tokens += (now_ms - self.updated_ms) * rate
+        self.updated_ms = now_ms
+        capacity = max(1, rate * _BURST_MS) if rate else 0
+        self.tokens = min(self.tokens, capacity)
 
     def take(self, rate):
-        """Take a request out, also where there is none.
+        """Take a token, even if the bucket is empty.
 
         Args:
-          rate: Requests a millisecond.
+          rate: Requests per millisecond.
         """
-        # What was sent a window ago does not count any more.
-        self.requests = max(self.requests - 1, -rate * WINDOW_MS)
+        # Requests older than the server's window no longer count.
+        self.tokens = max(self.tokens - 1, -rate * WINDOW_MS)
 
 
 class LimitTurns:
-    """The turns of one instance at all servers with a limit."""
+    """One instance's permits for all servers with a limit."""
 
     def __init__(self, clock, limits, shares):
-        """Create without a bucket.
+        """Create without buckets.
 
         Args:
           clock: A Clock.
-          limits: ServerLimits.
-          shares: LimitShares.
+          limits: The limits that servers advertise.
+          shares: This instance's shares of the limits.
         """
         self._clock = clock
         self._limits = limits
         self._shares = shares
         self._buckets = {}
-        self._lent = Counter()
+        self._borrowed = Counter()
 
     def has_turn(self, server):
-        """Tell whether a request may be sent to a server now.
+        """Return whether a request may be sent to a server now.
 
         Args:
-          server: Its id.
+          server: The server's id.
         """
-        if self._limits.limit_of(server) is None or self._lent[server]:
+        if self._limits.limit_of(server) is None or self._borrowed[server]:
             return True
-        return self._fill(server).requests >= 1 - _EPSILON
+        return self._refill(server).tokens >= 1 - _EPSILON
 
     def count(self, server):
-        """Return how many requests may be sent now to a server with a limit.
+        """Return the number of tokens for a server with a limit.
 
         Args:
-          server: Its id.
+          server: The server's id.
         """
-        return self._fill(server).requests
+        return self._refill(server).tokens
 
     def borrow(self, server):
-        """Take a turn that another instance lent, which counts it itself.
+        """Add a permit lent by another instance, which has counted it.
 
         Args:
           server: The server's id.
         """
-        self._lent[server] += 1
+        self._borrowed[server] += 1
 
     def give_back(self, server):
-        """Forget a turn that was lent and not used.
+        """Discard an unused borrowed permit.
 
         Args:
           server: The server's id.
         """
-        if self._lent[server]:
-            self._lent[server] -= 1
+        if self._borrowed[server]:
+            self._borrowed[server] -= 1
 
     def may_help(self, server):
-        """Tell whether a server may get the orders that joint reads need.
+        """Return whether a server may get reservations for joint reads.
 
         Args:
-          server: Its id.
+          server: The server's id.
         """
         limit = self._limits.limit_of(server)
         if limit is None:
             return True
-        return self._rate(server) * _MS_PER_SECOND >= _LEAST_TO_HELP
+        return self._rate(server) * _MS_PER_SECOND >= _MIN_HELPER_RATE
 
     def note_sent(self, server):
-        """Count what is sent to a server.
+        """Count a request or message sent to a server.
 
         Args:
-          server: Its id.
+          server: The server's id.
         """
         if self._limits.limit_of(server) is None:
             self._buckets.pop(server, None)
-            self._lent.pop(server, None)
-        elif self._lent[server]:
-            self._lent[server] -= 1
+            self._borrowed.pop(server, None)
+        elif self._borrowed[server]:
+            self._borrowed[server] -= 1
         else:
-            self._fill(server).take(self._rate(server))
+            self._refill(server).take(self._rate(server))
 
     def wait_ms(self, server):
-        """Return after how long a server takes another request, 0 for now.
+        """Return the time until a request may be sent, 0 for now.
 
-        Where it takes none of this instance, that is when it takes one of any
-        other, or is asked whether its limit goes on.
+        Without a share of the limit, it is the time until the server accepts a
+        request of another instance, or is probed.
 
         Args:
-          server: Its id.
+          server: The server's id.
         """
         if self.has_turn(server):
             return 0
         rate = self._rate(server)
         if rate:
-            return (1 - self._buckets[server].requests) / rate
+            return (1 - self._buckets[server].tokens) / rate
         limit = self._limits.limit_of(server)
-        return _MS_PER_SECOND / limit if limit else ASK_MS
+        return _MS_PER_SECOND / limit if limit else PROBE_INTERVAL_MS
 
-    def _fill(self, server):
+    def _refill(self, server):
         now_ms = self._clock.now_ms()
         bucket = self._buckets.get(server)
         if bucket is None:
-            bucket = _Bucket(now_ms)
+            bucket = _TokenBucket(now_ms)
             self._buckets[server] = bucket
-        bucket.fill(self._rate(server), now_ms)
+        bucket.refill(self._rate(server), now_ms)
         return bucket
 
     def _rate(self, server):
-        """Return what this instance may send there, requests a millisecond."""
+        """Return this instance's rate for a server, per millisecond."""
         limit = self._limits.limit_of(server)
         return limit * self._shares.part_of(server, limit) / _MS_PER_SECOND
