--- a/crankchute/core/limits.py
+++ b/crankchute/core/limits.py
@@ -1,23 +1,24 @@
-"""Limits of client accounts, shared among entry instances by leases.
+"""Limits of client accounts, shared among entry instances by loans.
 
-An account is served by a few instances.  Each holds an equal fraction of the
-account's limits for good, and may lend a part of it to another for a short
-time.  A lender counts its loan longer than the borrower does, so the fractions
-in use never add up to more than one, also when a message is lost.
+A few instances serve each account.  Each of them owns an equal fraction of the
+account's limits and may lend a part of it to another one for a short time.  A
+lender counts a loan for longer than the borrower does, so the fractions in use
+never add up to more than one, even if a message is lost.
 """
 
 _MS_PER_SECOND = 1000
 _BURST_MS = 2000
 _LOAN_MS = 2000
-#: How much longer a lender counts a loan than its borrower.
-CLOCK_ALLOWANCE_MS = 500
-_SMALLEST_LOAN = 0.02
-_HINT_MS = 250
+#: How much longer the lender counts a loan than the borrower does.
+_CLOCK_ALLOWANCE_MS = 500
+_MIN_LOAN = 0.02
+_RETRY_AFTER_MS = 250
+#: Tolerance for rounding errors in token counts.
 _TOKEN_EPSILON = 1e-6
 
 
 class Loan:
-    """A fraction lent by one instance to another for a while."""
+    """A fraction of an account's limits, lent for a limited time."""
 
     __slots__ = ('expiry_ms', 'fraction')
 
@@ -25,8 +26,8 @@
         """Create a loan.
 
         Args:
-          fraction: A part of the account's whole limits, 0 to 1.
-          expiry_ms: When it ends, on the clock of whoever keeps the record.
+          fraction: A fraction of the account's limits, 0 to 1.
+          expiry_ms: When it ends, on the local clock.
         """
         self.fraction = fraction
         self.expiry_ms = expiry_ms
@@ -35,15 +36,15 @@
 class Portion:
     """The fraction of an account's limits that one instance may use."""
 
-    __slots__ = ('_base', '_borrowed', '_lent')
+    __slots__ = ('_borrowed', '_lent', '_own_fraction')
 
     def __init__(self, width):
-        """Create the portion of one of several instances.
+        """Create the portion of one instance.
 
         Args:
-          width: Among how many instances the account is shared.
+          width: The number of instances that share the account.
         """
-        self._base = 1 / width
+        self._own_fraction = 1 / width
         self._lent = []
         self._borrowed = []
 
@@ -55,65 +56,63 @@
         Returns:
           A float from 0 to 1.
         """
-        self._lent = _running(self._lent, now_ms)
-        self._borrowed = _running(self._borrowed, now_ms)
+        self._lent = _list_unexpired(self._lent, now_ms)
+        self._borrowed = _list_unexpired(self._borrowed, now_ms)
         lent = sum(loan.fraction for loan in self._lent)
         borrowed = sum(loan.fraction for loan in self._borrowed)
-        return min(max(self._base - lent + borrowed, 0), 1)
+        return min(max(self._own_fraction - lent + borrowed, 0), 1)
 
     def lend(self, wanted, in_use, now_ms):
-        """Lend a part of what is not in use.
+        """Lend a part of the unused fraction.
 
-        Only the portion's own base is lent, never what it borrowed.
+        Borrowed fractions are never lent on.
 
         Args:
-          wanted: The fraction asked for.
-          in_use: The fraction that this instance needs itself.
+          wanted: The requested fraction.
+          in_use: The fraction that this instance uses.
           now_ms: The time in milliseconds.
         Returns:
-          The fraction lent, 0 if there is too little to spare.
+          The fraction lent, 0 if too little is unused.
         """
-        self._lent = _running(self._lent, now_ms)
+        self._lent = _list_unexpired(self._lent, now_ms)
         lent = sum(loan.fraction for loan in self._lent)
-        spare = self._base - lent - in_use
+        spare = self._own_fraction - lent - in_use
         fraction = min(wanted, spare)
-        if fraction < _SMALLEST_LOAN:
+        if fraction < _MIN_LOAN:
             return 0
-        expiry_ms = now_ms + _LOAN_MS + CLOCK_ALLOWANCE_MS
+        expiry_ms = now_ms + _LOAN_MS + _CLOCK_ALLOWANCE_MS
         self._lent.append(Loan(fraction, expiry_ms))
         return fraction
 
-    def borrow(self, fraction, asked_ms):
-        """Note a loan that was granted.
+    def borrow(self, fraction, requested_ms):
+        """Add a granted loan.
 
         Args:
           fraction: The fraction granted.
-          asked_ms: When it was asked for, before the message left.
+          requested_ms: The time before the request was sent.
         """
         if fraction > 0:
-            self._borrowed.append(Loan(fraction, asked_ms + _LOAN_MS))
+            self._borrowed.append(Loan(fraction, requested_ms + _LOAN_MS))
 
 
 class AccountUse:
-    """What one account uses at one instance, against its portion.
+    """One account's usage at one instance.
 
     Attributes:
-      in_progress: Requests admitted that have not ended, an int.
-      is_pressed: Whether the portion is nearly used up or was exceeded since
-        this was last asked, a bool.
+      in_progress: The number of admitted requests that have not ended.
     """
 
     __slots__ = (
         '_account',
-        '_at_ms',
         '_bucket',
         '_portion',
-        '_was_short',
+        '_refilled_ms',
+        '_was_refused',
         'in_progress',
     )
 
     def __init__(self, account, now_ms):
-        """Create the record of an account without use.
+        """Create the record of an unused account.
 
         Args:
           account: An Account of the configuration.
@@ -121,9 +120,9 @@
         """
         self._account = account
         self._portion = Portion(account.width)
-        self._at_ms = now_ms
+        self._refilled_ms = now_ms
         self._bucket = self._bucket_size(now_ms)
-        self._was_short = False
+        self._was_refused = False
         self.in_progress = 0
 
     @property
@@ -133,47 +132,47 @@
 
     @property
     def portion(self):
-        """The Portion, to lend from and to borrow for."""
+        """The Portion."""
         return self._portion
 
     def update(self, account):
-        """Take a new configuration of the account.
+        """Apply a new configuration of the account.
 
         Args:
-          account: An Account; a changed width starts the portion anew.
+          account: An Account; a changed width resets the portion.
         """
         if account.width != self._account.width:
             self._portion = Portion(account.width)
         self._account = account
 
     def admit(self, tokens, now_ms):
-        """Count a request in if the limits allow it.
+        """Admit a request if the limits allow it.
 
         Args:
           tokens: The prompt's length.
           now_ms: The time in milliseconds.
         Returns:
-          None if it is admitted, else milliseconds after which to ask again.
+          None if it is admitted, else milliseconds after which to retry.
         """
         self._refill(now_ms)
         allowed = self._allowed_in_progress(now_ms)
         if self.in_progress >= allowed:
-            self._was_short = True
-            return _HINT_MS
+            self._was_refused = True
+            return _RETRY_AFTER_MS
         needed = min(tokens, self._bucket_size(now_ms))
         if needed > self._bucket + _TOKEN_EPSILON:
-            self._was_short = True
+            self._was_refused = True
             return self._refill_ms(needed - self._bucket, now_ms)
         self._bucket -= tokens
         self.in_progress += 1
         return None
 
     def release(self):
-        """Count a request out."""
+        """Record the end of an admitted request."""
         self.in_progress -= 1
 
     def used_fraction(self, now_ms):
-        """Return the fraction of the whole limits in use here.
+        """Return the fraction of the account's limits in use here.
 
         Args:
           now_ms: The time in milliseconds.
@@ -184,11 +183,11 @@
         by_rate = (self._bucket_size(now_ms) - self._bucket) / rate
         return min(max(by_count, by_rate, 0), 1)
 
-    def take_shortage(self):
-        """Tell whether a request was refused since this was last asked."""
-        was_short = self._was_short
-        self._was_short = False
-        return was_short
+    def take_refused_flag(self):
+        """Return whether a request was refused since the last call."""
+        was_refused = self._was_refused
+        self._was_refused = False
+        return was_refused
 
     def _allowed_in_progress(self, now_ms):
         fraction = self._portion.fraction(now_ms)
@@ -202,9 +201,9 @@
         return self._rate(now_ms) * _BURST_MS
 
     def _refill(self, now_ms):
-        earned = (now_ms - self._at_ms) * self._rate(now_ms)
+        earned = (now_ms - self._refilled_ms) * self._rate(now_ms)
         self._bucket = min(self._bucket + earned, self._bucket_size(now_ms))
-        self._at_ms = now_ms
+        self._refilled_ms = now_ms
 
     def _refill_ms(self, missing, now_ms):
         rate = self._rate(now_ms)
@@ -212,10 +211,10 @@
 
 
 class AccountLimits:
-    """The use of all accounts at one instance."""
+    """The usage of all accounts at one instance."""
 
     def __init__(self, clock):
-        """Create without any use.
+        """Create without records.
 
         Args:
           clock: A Clock.
@@ -224,14 +223,16 @@
         self._uses = {}
 
     def __len__(self):
-        """Return for how many accounts there is a record."""
+        """Return the number of account records."""
         return len(self._uses)
 
     def use_of(self, account):
-        """Return the AccountUse of an account, made if there is none.
+        """Return an account's usage record, creating it if needed.
 
         Args:
-          account: An Account of the configuration in force.
+          account: An Account of the current configuration.
+        Returns:
+          An AccountUse.
         """
         use = self._uses.get(account.name)
         if use is None:
@@ -242,16 +243,16 @@
         return use
 
     def pressed(self):
-        """Return the uses that were short since this was last asked."""
-        return [use for use in self._uses.values() if use.take_shortage()]
+        """Return the accounts' records with refusals since the last call."""
+        return [use for use in self._uses.values() if use.take_refused_flag()]
 
     def forget_idle(self):
-        """Forget accounts without requests whose bucket is full again."""
+        """Drop accounts without requests whose token bucket is full."""
         now_ms = self._clock.now_ms()
         for name, use in tuple(self._uses.items()):
             if not use.in_progress and not use.used_fraction(now_ms):
                 self._uses.pop(name)
 
 
-def _running(loans, now_ms):
+def _list_unexpired(loans, now_ms):
     return [loan for loan in loans if loan.expiry_ms > now_ms]
