--- a/crankchute/core/outcomes.py
+++ b/crankchute/core/outcomes.py
@@ -1,31 +1,31 @@
-"""How a request ended, in the few words that callers can act on."""
+"""Outcomes of requests, as reported to callers."""
 
 import enum
 
 
 class Outcome(enum.Enum):
-    """The four ends of a request."""
+    """The outcome of a request."""
 
     OK = 'ok'
-    #: It is proved that the request did not start at any backend server.
+    #: The request provably did not start at any backend server.
     NOT_RUN = 'not_run'
-    #: The request may have run, and nobody can tell.
+    #: The request may have run.
     UNKNOWN = 'unknown'
     #: The request started and did not finish.
     FAILED = 'failed'
 
 
 class Refusal:
-    """An end other than an answer.
+    """The end of a request without an answer.
 
     Attributes:
       outcome: An Outcome other than OK.
       code: A short identifier for programs.
       text: A sentence for people.
-      retry_after_ms: Milliseconds after which to ask again, or None if asking
-        again does not help.
-      passed_on: Whether this submission was handed to a backend server or to
-        another entry instance, a bool.
+      retry_after_ms: Milliseconds after which to retry, or None if a retry
+        does not help.
+      passed_on: Whether the request was sent to a backend server or to another
+        entry instance, a bool.
     """
 
     __slots__ = ('code', 'outcome', 'passed_on', 'retry_after_ms', 'text')
@@ -37,7 +37,7 @@
           outcome: An Outcome other than OK.
           code: A short identifier for programs.
           text: A sentence for people.
-          details: `retry_after_ms` and `passed_on`, see the class.
+          details: The other attributes of the class, all optional.
         """
         self.outcome = outcome
         self.code = code
@@ -46,7 +46,7 @@
         self.passed_on = details.get('passed_on', outcome != Outcome.NOT_RUN)
 
     def __repr__(self):
-        """Return the refusal as it would be written in code."""
+        """Return a representation for debugging."""
         return f'Refusal({self.outcome}, {self.code!r}, {self.text!r})'
 
 
@@ -56,7 +56,7 @@
     Args:
       code: A short identifier for programs.
       text: A sentence for people.
-      retry_after_ms: When to ask again, or None.
+      retry_after_ms: Milliseconds after which to retry, or None.
     Returns:
       A Refusal.
     """
