--- a/crankchute/core/proof.py
+++ b/crankchute/core/proof.py
@@ -1,50 +1,52 @@
-"""How long ago something was proved to be the newest of its kind."""
+"""The age of the last confirmation that a version is current."""
 
-#: By way of a reader and a home a proof is up to two seconds old.
-_USUAL_MS = 2050
-#: A keyed request needs one younger than 4.3 s where revocation is strict.
-_LONGEST_MS = 3000
+#: A confirmation that arrives through other instances can be up to two seconds
+#: old.
+_MIN_STALE_MS = 2050
+#: Below the greatest age that strict revocation of keys accepts.
+_MAX_STALE_MS = 3000
 
 
 def choose_stale_ms(in_force_ms):
-    """Return how old a proof is when the platform has to be asked for a new one.
+    """Return the age at which an instance asks the platform itself.
 
-    All who read the platform for others may be cut off from it at once, while
-    a version is published that must be in force soon.
+    The instances that read from the platform for others may all lose their
+    connection while a version is published that must take effect soon.
 
     Args:
-      in_force_ms: Within what time a version must be in force, in
-        milliseconds.
+      in_force_ms: Milliseconds within which a version must take effect.
     """
-    return min(max(in_force_ms, _USUAL_MS), _LONGEST_MS)
+    return min(max(in_force_ms, _MIN_STALE_MS), _MAX_STALE_MS)
 
 
 class Proof:
-    """The newest moment at which it was proved, on this process's clock.
+    """The last time at which a version was confirmed as current.
 
-    That moment is the one of asking, not that of the answer: what comes back
-    proves no more than what was current when it was asked for.
+    This is the time of the request, not of the response: a response only
+    confirms what was current when the request was sent.
     """
 
-    __slots__ = ('_asked_ms',)
+    __slots__ = ('_requested_ms',)
 
     def __init__(self):
-        """Create without a proof."""
-        self._asked_ms = None
+        """Create without a confirmation."""
+        self._requested_ms = None
 
-    def note(self, asked_ms):
-        """Take a proof; an older one changes nothing.
+    def note(self, requested_ms):
+        """Record a confirmation; an older one is ignored.
 
         Args:
-          asked_ms: When it was asked for, on this process's clock.
+          requested_ms: The time of the request on this process's clock.
         """
-        if self._asked_ms is None or asked_ms > self._asked_ms:
-            self._asked_ms = asked_ms
+        if self._requested_ms is None or requested_ms > self._requested_ms:
+            self._requested_ms = requested_ms
 
     def age_ms(self, now_ms):
-        """Return the age of the proof in milliseconds, or None.
+        """Return the age of the confirmation in milliseconds, or None.
 
         Args:
           now_ms: The time on this process's clock.
         """
-        return None if self._asked_ms is None else now_ms - self._asked_ms
+        return (
+            None if self._requested_ms is None else now_ms - self._requested_ms
+        )
--- a/crankchute/core/proof_test.py
+++ b/crankchute/core/proof_test.py
@@ -1,4 +1,4 @@
-"""Tests of the age at which a proof is too old."""
+"""Tests of the age at which the platform is asked for confirmation."""
 
 import pytest
 
@@ -9,8 +9,6 @@
     ('in_force_ms', 'stale_ms'),
     [(1000, 2050), (2000, 2050), (2500, 2500), (3000, 3000), (9000, 3000)],
 )
-def test_platform_is_asked_in_time_for_a_version_to_be_in_force(
-    in_force_ms, stale_ms
-):
-    """Where 2 s are granted, 3 s were too late when all readers were lost."""
+def test_stale_age_follows_the_time_to_take_effect(in_force_ms, stale_ms):
+    """A version takes effect in time even if all readers disconnect."""
     assert choose_stale_ms(in_force_ms) == stale_ms
