--- a/crankchute/core/registry.py
+++ b/crankchute/core/registry.py
@@ -1,23 +1,23 @@
-"""Registries that decorators fill, for behaviour that varies by name."""
+"""Registries of named functions, filled by decorators."""
 
 from collections import UserDict
 
 
 class Registry(UserDict):
-    """A map from name to function, filled by a decorator."""
+    """A map from names to functions, filled by a decorator."""
 
     def register(self, name):
         """Return a decorator that registers a function.
 
         Args:
-          name: The name under which the function is found.
+          name: The function's name in the registry.
         Returns:
           A decorator that returns its function unchanged.
         Raises:
-          ValueError: If the name is taken.
+          ValueError: If the name is already registered.
         """
         if name in self:
-            raise ValueError(f'{name!r} is registered already')
+            raise ValueError(f'{name!r} is already registered')
 
         def decorate(function):
             self[name] = function
