--- a/crankchute/core/retry_budget.py
+++ b/crankchute/core/retry_budget.py
@@ -1,34 +1,34 @@
-"""Retry budgets: retries may only be a fraction of recent successes.
+"""Retry budget that limits retries to a fraction of recent successes.
 
-Without a bound, retries of a failing backend multiply the load at the worst
-moment.  Successes pay into a bounded purse; a retry takes one whole unit.
+Without a limit, retries multiply the load on a failing backend server.  A
+token bucket is filled by successes, and each retry takes one token.
 """
 
-_PAID_PER_SUCCESS = 0.1
-_LARGEST = 20
-_INITIAL = 5
+_TOKENS_PER_SUCCESS = 0.1
+_MAX_TOKENS = 20
+_INITIAL_TOKENS = 5
 
 
 class RetryBudget:
-    """The retries that one account, or one pool, may still make."""
+    """The retry budget of one account or one pool."""
 
-    __slots__ = ('_units',)
+    __slots__ = ('_tokens',)
 
     def __init__(self):
-        """Create a budget with a few retries to start with."""
-        self._units = float(_INITIAL)
+        """Create a budget with a few initial retries."""
+        self._tokens = float(_INITIAL_TOKENS)
 
     def note_success(self):
-        """Pay in for a success."""
-        self._units = min(self._units + _PAID_PER_SUCCESS, _LARGEST)
+        """Add the tokens earned by a success."""
+        self._tokens = min(self._tokens + _TOKENS_PER_SUCCESS, _MAX_TOKENS)
 
     def take(self):
-        """Take one retry.
+        """Take a token for one retry.
 
         Returns:
           True if the retry may be made.
         """
-        if self._units < 1:
+        if self._tokens < 1:
             return False
-        self._units -= 1
+        self._tokens -= 1
         return True
--- a/crankchute/core/sliding_budget.py
+++ b/crankchute/core/sliding_budget.py
@@ -1,23 +1,23 @@
-"""A retry budget in a sliding window that needs no coordination.
+"""Retry budget in a sliding window, shared without coordination.
 
-All instances together may repeat a fraction of the requests, plus a fixed
-slack, in any window.  Each instance repeats at most that fraction of its own
-requests, so the sum holds whatever the membership is.  The slack is divided
-by the largest number of instances ever known, with a margin for those not
-heard of yet, and a shrinking view never enlarges a share.
+In any window, all instances together may retry a fraction of the requests, plus
+a fixed slack.  Each instance retries at most that fraction of its own requests,
+so the sum holds for any membership.  The slack is divided by the largest number
+of instances ever known, with a margin for unknown ones, so that a share never
+grows when an instance loses sight of others.
 """
 
 from collections import deque
 
-#: Instances that may run without being known here yet.
-_UNKNOWN_FACTOR = 1.25
-#: Of what the bound allows, the part that is used; the rest covers requests
-#: that are counted in another window elsewhere.
-_USED_PART = 0.8
+#: Allows for running instances that this one does not know yet.
+_UNSEEN_INSTANCE_FACTOR = 1.25
+#: The usable fraction of the budget; the rest covers requests that other
+#: instances count in another window.
+_SAFETY_FACTOR = 0.8
 
 
 class RetryLimits:
-    """How much of the requests may be repeated, by all instances together."""
+    """Limits on the retries of all instances together."""
 
     __slots__ = ('per_account', 'ratio', 'slack', 'window_ms')
 
@@ -25,11 +25,11 @@
         """Create the limits.
 
         Args:
-          ratio: Retries for each request.
-          slack: Retries beyond that in any window.
+          ratio: Retries per request.
+          slack: Additional retries per window.
           window_ms: The window in milliseconds.
-          per_account: Whether each client account has a budget of its own
-            for each pool, or all of them share one.
+          per_account: Whether each client account has a separate budget for
+            each pool, rather than one that all accounts share.
         """
         self.per_account = per_account
         self.ratio = ratio
@@ -38,9 +38,9 @@
 
 
 class SlidingBudget:
-    """The retries of one pool at one instance."""
+    """The retry budget of one pool at one instance."""
 
-    __slots__ = ('_limits', '_most_known', '_requests', '_retries')
+    __slots__ = ('_limits', '_max_instances', '_requests', '_retries')
 
     def __init__(self, limits):
         """Create an unused budget.
@@ -51,26 +51,26 @@
         self._limits = limits
         self._requests = deque()
         self._retries = deque()
-        self._most_known = 1
+        self._max_instances = 1
 
     def change_limits(self, limits):
-        """Take other limits; what was used stays used.
+        """Replace the limits; past requests and retries still count.
 
         Args:
           limits: RetryLimits.
         """
         self._limits = limits
 
-    def note_instances(self, known):
-        """Note how many instances are known.
+    def note_instances(self, count):
+        """Record the number of known instances.
 
         Args:
-          known: An int.
+          count: An int.
         """
-        self._most_known = max(self._most_known, known)
+        self._max_instances = max(self._max_instances, count)
 
     def note_request(self, now_ms):
-        """Note a request of this instance.
+        """Record a request of this instance.
 
         Args:
           now_ms: The time in milliseconds.
@@ -79,7 +79,7 @@
         self._drop_old(now_ms)
 
     def take(self, now_ms):
-        """Take one retry.
+        """Take one retry from the budget.
 
         Args:
           now_ms: The time in milliseconds.
@@ -87,14 +87,16 @@
           True if the retry may be made.
         """
         self._drop_old(now_ms)
-        share = self._limits.slack / (self._most_known * _UNKNOWN_FACTOR)
+        share = self._limits.slack / (
+            self._max_instances * _UNSEEN_INSTANCE_FACTOR
+        )
         allowed = self._limits.ratio * len(self._requests) + share
-        if len(self._retries) + 1 > allowed * _USED_PART:
+        if len(self._retries) + 1 > allowed * _SAFETY_FACTOR:
             return False
         self._retries.append(now_ms)
         return True
 
     def _drop_old(self, now_ms):
-        for times in (self._requests, self._retries):
-            while times and times[0] < now_ms - self._limits.window_ms:
-                times.popleft()
+        for times_ms in (self._requests, self._retries):
+            while times_ms and times_ms[0] < now_ms - self._limits.window_ms:
+                times_ms.popleft()
