--- a/crankchute/core/return_hints.py
+++ b/crankchute/core/return_hints.py
@@ -1,24 +1,22 @@
-"""When a caller that is refused had better come back.
+"""Retry delays suggested to refused callers.
 
-A caller comes back once or twice, so a hint that is too short costs it its
-answer, and one that is too long costs time only.  Callers that were refused
-together should not come back together.  In the two seconds after a restart of
-all instances during an outage 21 of 51 callers were turned away for good where
-all were told to come back after half a second.
+Callers retry once or twice only, so a delay that is too short loses the request,
+while one that is too long only costs time.  Jitter keeps callers that were
+refused together from retrying together.
 """
 
-#: What is hinted when it is not known how long the trouble lasts, as a part of
-#: the time that the caller has left: after it most of that is still left.
-_UNKNOWN_PART = 0.2
-#: Callers are not asked to wait for more than this part of what they have left.
-_MOST_PART = 0.3
-_LEAST_MS = 100
-#: Hints differ by up to this part in either direction.
-_SPREAD = 0.25
+#: The delay when the time to recovery is unknown, as a fraction of the caller's
+#: remaining time.
+_DEFAULT_DELAY_FRACTION = 0.2
+#: The longest delay, as a fraction of the caller's remaining time.
+_MAX_DELAY_FRACTION = 0.3
+_MIN_DELAY_MS = 100
+#: The largest relative deviation from the chosen delay.
+_JITTER = 0.25
 
 
 class ReturnHints:
-    """Chooses hints."""
+    """Chooses retry delays."""
 
     def __init__(self, random):
         """Create the chooser.
@@ -29,26 +27,27 @@
         self._random = random
 
     def choose_ms(self, remaining_ms, recovery_ms=None):
-        """Return after how many milliseconds a caller should come back.
+        """Return the delay after which a caller should retry.
 
         Args:
-          remaining_ms: What the caller has left, in milliseconds.
-          recovery_ms: When it can probably be served, in milliseconds, or
-            None if that is not known.
+          remaining_ms: The caller's remaining time, in milliseconds.
+          recovery_ms: The expected time until the request can be served, in
+            milliseconds, or None if unknown.
         """
         if recovery_ms is None:
-            recovery_ms = remaining_ms * _UNKNOWN_PART
-        wanted_ms = min(recovery_ms, remaining_ms * _MOST_PART)
-        spread = self._random.uniform(1 - _SPREAD, 1 + _SPREAD)
-        return max(wanted_ms, _LEAST_MS) * spread
+            recovery_ms = remaining_ms * _DEFAULT_DELAY_FRACTION
+        delay_ms = min(recovery_ms, remaining_ms * _MAX_DELAY_FRACTION)
+        jitter = self._random.uniform(1 - _JITTER, 1 + _JITTER)
+        return max(delay_ms, _MIN_DELAY_MS) * jitter
 
-    def choose_after_ms(self, known_ms):
-        """Return when to come back where it is known when that can help.
+    def choose_after_ms(self, unavailable_ms):
+        """Return a delay that is never shorter than a known unavailability.
 
-        Who comes earlier is refused again for sure, and who has less left
-        than that had better know it.
+        An earlier retry would certainly be refused.  The caller's remaining
+        time does not shorten the delay, so that a caller with less time left
+        knows that a retry cannot help.
 
         Args:
-          known_ms: Until when nobody can be served, in milliseconds.
+          unavailable_ms: Milliseconds during which no request can be served.
         """
-        return known_ms * self._random.uniform(1, 1 + _SPREAD)
+        return unavailable_ms * self._random.uniform(1, 1 + _JITTER)
