--- a/crankchute/core/turn_lending.py
+++ b/crankchute/core/turn_lending.py
@@ -1,23 +1,23 @@
-"""Lending turns at servers with limits to instances that have none.
+"""Loans of permits for rate-limited servers between instances.
 
-A limit of a request a second has few holders, and callers come to any instance.
-One that has no turn at any server of a pool asks a holder for one before it
-refuses.  Who lends a turn counts it as used, so that the sum stays what it was; a
-turn that is lost on its way is one that the server does not get.
+A low limit has few holders, but callers may reach any instance.  An instance
+without a permit for any server of a pool asks the holders for one before it
+refuses a request.  The lender counts a lent permit as used, so loans never raise
+the total; a permit that is lost in transit stays unused.
 """
 
-#: How long an instance that has no turn to lend is not asked again, at most.
-_DENIED_MS = 250
-#: How many instances are asked for one request.
-_MOST_ASKED = 3
+#: The longest time for which an instance that lent no permit is not asked again.
+_MAX_REFUSAL_BACKOFF_MS = 250
+#: The number of instances asked for one request.
+_MAX_LENDERS = 3
 
 
 class TurnOffer:
-    """What an instance answers that is asked for a turn.
+    """The answer to a request for a permit.
 
     Attributes:
-      server: The id of the server at which it lends a turn, or None.
-      wait_ms: After how long it has a turn again, if it lends none.
+      server: The id of the server for which a permit is lent, or None.
+      wait_ms: Milliseconds until the lender has a permit, if it lends none.
     """
 
     __slots__ = ('server', 'wait_ms')
@@ -34,17 +34,17 @@
 
 
 def lend_turn(turns, servers):
-    """Lend a turn where this instance has the most of them.
+    """Lend a permit for the server for which this instance has the most.
 
     Args:
-      turns: The LimitTurns.
-      servers: Ids of servers with limits that the asker may use, a list.
+      turns: This instance's permits.
+      servers: The ids of servers with limits that the borrower may use, a list.
     Returns:
-      A TurnOffer.
+      The offer to the borrower.
     """
     best = max(servers, key=turns.count, default=None)
     if best is None:
-        return TurnOffer(None, _DENIED_MS)
+        return TurnOffer(None, _MAX_REFUSAL_BACKOFF_MS)
     if not turns.has_turn(best):
         return TurnOffer(None, min(map(turns.wait_ms, servers)))
     turns.note_sent(best)
@@ -52,69 +52,76 @@
 
 
 class TurnBorrower:
-    """Asks other instances for turns."""
+    """Chooses lenders and records their answers."""
 
-    def __init__(self, clock, random, desk, own):
+    def __init__(self, clock, random, limits, own):
         """Create the borrower.
 
         Args:
           clock: A Clock.
           random: A random.Random.
-          desk: The LimitDesk.
+          limits: The rate limits of servers at this instance.
           own: This instance's id.
         """
         self._clock = clock
         self._random = random
-        self._desk = desk
+        self._limits = limits
         self._own = own
-        self._denied_ms = {}
+        self._not_before_ms = {}
 
     def list_lenders(self, servers):
-        """Return the ids of instances that may lend a turn, the first to ask first.
+        """Return the ids of instances to ask for a permit, in order.
 
         Args:
           servers: The ids of servers that a request may be sent to, a list.
         """
-        limits = {one: self._desk.words.limit_of(one) for one in servers}
+        limits = {
+            identity: self._limits.words.limit_of(identity)
+            for identity in servers
+        }
         holders = {
             holder
             for server, limit in limits.items()
             if limit
-            for holder in self._desk.shares.list_holders(server, limit)
+            for holder in self._limits.shares.list_holders(server, limit)
         }
         now_ms = self._clock.now_ms()
         lenders = [
-            one
-            for one in sorted(holders)
-            if one != self._own and self._denied_ms.get(one, 0) <= now_ms
+            identity
+            for identity in sorted(holders)
+            if identity != self._own
+            and self._not_before_ms.get(identity, 0) <= now_ms
         ]
-        count = min(len(lenders), _MOST_ASKED)
+        count = min(len(lenders), _MAX_LENDERS)
         return self._random.sample(lenders, count)
 
     def take(self, lender, offer):
-        """Take the answer of an instance that was asked.
+        """Record the answer of an instance that was asked.
 
         Args:
           lender: Its id.
-          offer: Its TurnOffer, or None if it did not answer.
+          offer: Its offer, or None if it did not answer.
         Returns:
-          The id of the server at which it lent a turn, or None.
+          The id of the server for which it lent a permit, or None.
         """
         if offer is not None and offer.server is not None:
-            self._desk.turns.borrow(offer.server)
+            self._limits.turns.borrow(offer.server)
             return offer.server
-        wait_ms = _DENIED_MS if offer is None else offer.wait_ms
-        denied_ms = self._clock.now_ms() + min(wait_ms, _DENIED_MS)
-        self._denied_ms[lender] = denied_ms
+        wait_ms = _MAX_REFUSAL_BACKOFF_MS if offer is None else offer.wait_ms
+        not_before_ms = self._clock.now_ms() + min(
+            wait_ms,
+            _MAX_REFUSAL_BACKOFF_MS,
+        )
+        self._not_before_ms[lender] = not_before_ms
         return None
 
 
 class NoLending:
-    """Stands where no other instance could lend anything."""
+    """Null implementation for deployments without lenders."""
 
     def borrow(self, servers, on_done):
-        """See TurnLending."""
+        """Return False, as no instance is asked."""
         return False
 
     def give_back(self, server):
-        """See TurnLending."""
+        """Do nothing, as no permit was borrowed."""
--- a/crankchute/core/turn_lending_test.py
+++ b/crankchute/core/turn_lending_test.py
@@ -1,4 +1,4 @@
-"""Tests of the lending of turns at servers with limits."""
+"""Tests of the lending of permits for rate-limited servers."""
 
 import random
 
@@ -12,62 +12,66 @@
 _ACTIVE = ('entry-0', 'entry-1', 'entry-2')
 
 
-class World:
-    """An instance that divides limits with two others."""
+class LendingHarness:
+    """An instance, and the active instances that divide limits."""
 
     def __init__(self, own, active=_ACTIVE):
         self.timers = ManualTimers()
-        self.desk = LimitDesk(self.timers, own, 'boot')
-        self.desk.start(lambda: active, lambda _one: False, lambda _one: None)
+        self.limits = LimitDesk(self.timers, own, 'boot')
+        self.limits.start(
+            lambda: active,
+            lambda _instance: False,
+            lambda _server: None,
+        )
         self.borrower = TurnBorrower(
             self.timers.clock,
             random.Random(1),
-            self.desk,
+            self.limits,
             own,
         )
         self.timers.advance(_WINDOW_MS)
 
-    def name(self, **limits):
+    def advertise(self, **limits):
         for server, limit in limits.items():
             now_ms = self.timers.clock.now_ms()
-            self.desk.words.take(server, limit, now_ms)
+            self.limits.words.take(server, limit, now_ms)
 
 
-def test_turns_are_lent_where_most_are_left_and_counted():
-    world = World('entry-0', ['entry-0'])
-    world.name(a=1, b=10)
-    turns = world.desk.turns
+def test_permit_is_lent_where_most_are_left_and_counted():
+    harness = LendingHarness('entry-0', ['entry-0'])
+    harness.advertise(a=1, b=10)
+    turns = harness.limits.turns
     offers = [lend_turn(turns, ['a', 'b']).server for _ in range(7)]
     assert offers == ['b', 'b', 'b', 'b', 'a', 'b', None]
     assert lend_turn(turns, ['a', 'b']).wait_ms == pytest.approx(100)
     assert lend_turn(turns, []).server is None
 
 
-def test_borrowed_turn_is_good_for_one_request():
-    world = World('elsewhere')
-    world.name(a=1)
-    turns = world.desk.turns
+def test_borrowed_permit_is_valid_for_one_request():
+    harness = LendingHarness('elsewhere')
+    harness.advertise(a=1)
+    turns = harness.limits.turns
     assert not turns.has_turn('a')
-    assert world.borrower.take('entry-1', TurnOffer('a')) == 'a'
+    assert harness.borrower.take('entry-1', TurnOffer('a')) == 'a'
     assert turns.has_turn('a')
     turns.note_sent('a')
     assert not turns.has_turn('a')
-    world.borrower.take('entry-1', TurnOffer('a'))
+    harness.borrower.take('entry-1', TurnOffer('a'))
     turns.give_back('a')
     turns.give_back(None)
     assert not turns.has_turn('a')
 
 
-def test_holders_are_asked_and_not_again_at_once():
-    world = World('elsewhere')
-    world.name(a=100, b=0)
-    assert set(world.borrower.list_lenders(['a'])) == set(_ACTIVE)
-    # Nobody has a turn where a server takes nothing.
-    assert not world.borrower.list_lenders(['b'])
-    assert world.borrower.take('entry-1', None) is None
-    assert world.borrower.take('entry-2', TurnOffer(None, 100)) is None
-    assert world.borrower.list_lenders(['a']) == ['entry-0']
-    world.timers.advance(100)
-    assert set(world.borrower.list_lenders(['a'])) == {'entry-0', 'entry-2'}
-    world.timers.advance(_WINDOW_MS)
-    assert set(world.borrower.list_lenders(['a'])) == set(_ACTIVE)
+def test_holder_that_lent_nothing_is_not_asked_again_at_once():
+    harness = LendingHarness('elsewhere')
+    harness.advertise(a=100, b=0)
+    assert set(harness.borrower.list_lenders(['a'])) == set(_ACTIVE)
+    # A limit of zero has no permits to lend.
+    assert not harness.borrower.list_lenders(['b'])
+    assert harness.borrower.take('entry-1', None) is None
+    assert harness.borrower.take('entry-2', TurnOffer(None, 100)) is None
+    assert harness.borrower.list_lenders(['a']) == ['entry-0']
+    harness.timers.advance(100)
+    assert set(harness.borrower.list_lenders(['a'])) == {'entry-0', 'entry-2'}
+    harness.timers.advance(_WINDOW_MS)
+    assert set(harness.borrower.list_lenders(['a'])) == set(_ACTIVE)
