--- a/crankchute/core/config.py
+++ b/crankchute/core/config.py
@@ -1,22 +1,23 @@
-"""The configuration that operators publish, as plain objects.
+"""Data classes for the configuration that operators publish.
 
-The documents are maps under keys: `models`, `pools`, `classes`, `policy`, and
-`accounts` or any number of keys `accounts/NAME`, so that many accounts fit
-into values of bounded size.
+The configuration is published as one document per key: `models`, `pools`,
+`classes`, `policy` and `accounts`.  A section other than `policy` may be
+split over several keys, such as `accounts/NAME`, to bound the size of each
+document.
 """
 
 _DEFAULT_WIDTH = 3
 _DEFAULT_BYTES_PER_TOKEN = 4
-_DEFAULT_MAX_PROMPT = 1_048_576
+_DEFAULT_MAX_PROMPT_TOKENS = 1_048_576
 _DEFAULT_LONG_SHARE = 1
-_DEFAULT_IN_PROGRESS = 1000
-_DEFAULT_TOKEN_RATE = 10_000_000
+_DEFAULT_MAX_IN_PROGRESS = 1000
+_DEFAULT_TOKENS_PER_SECOND = 10_000_000
 _DEFAULT_MAX_DEADLINE_MS = 3_600_000
 _DEFAULT_PRIORITY = 5
 
 
 class Model:
-    """A model that engines may hold."""
+    """A model that engines can serve."""
 
     __slots__ = (
         'adapters',
@@ -27,10 +28,10 @@
     )
 
     def __init__(self, document):
-        """Create a model.
+        """Create a model from its document.
 
         Args:
-          document: A map that agrees with the schema.
+          document: A map that conforms to the schema.
         """
         self.name = document['name']
         self.version = document['version']
@@ -41,12 +42,12 @@
         )
         self.max_prompt_tokens = document.get(
             'max_prompt_tokens',
-            _DEFAULT_MAX_PROMPT,
+            _DEFAULT_MAX_PROMPT_TOKENS,
         )
 
 
 class Pool:
-    """Backend servers chosen by their labels."""
+    """A group of backend servers selected by label."""
 
     __slots__ = (
         'checks_fences',
@@ -61,10 +62,10 @@
     )
 
     def __init__(self, document):
-        """Create a pool.
+        """Create a pool from its document.
 
         Args:
-          document: A map that agrees with the schema.
+          document: A map that conforms to the schema.
         """
         self.name = document['name']
         self.kind = document['kind']
@@ -78,20 +79,20 @@
 
     @property
     def backend_kind(self):
-        """The kind of backend server, as the instance list names it."""
+        """The backend kind as it is named in the server list."""
         return 'engine' if self.kind == 'model' else self.kind
 
 
 class WorkloadClass:
-    """A kind of work: which accounts may ask for it, and where it runs."""
+    """A class of requests: who may send them, and which pools serve them."""
 
     __slots__ = ('accounts', 'max_deadline_ms', 'name', 'pools', 'priority')
 
     def __init__(self, document):
-        """Create a workload class.
+        """Create a workload class from its document.
 
         Args:
-          document: A map that agrees with the schema.
+          document: A map that conforms to the schema.
         """
         self.name = document['name']
         self.pools = document['pools']
@@ -104,7 +105,7 @@
 
 
 class Account:
-    """A client account and its limits over the whole system."""
+    """A client account and its system-wide limits."""
 
     __slots__ = (
         'labels',
@@ -116,10 +117,10 @@
     )
 
     def __init__(self, document):
-        """Create an account.
+        """Create an account from its document.
 
         Args:
-          document: A map that agrees with the schema.
+          document: A map that conforms to the schema.
         """
         self.name = document['name']
         self.labels = dict(document.get('labels', {}), account=self.name)
@@ -127,35 +128,35 @@
         self.width = document.get('width', _DEFAULT_WIDTH)
         self.max_in_progress = document.get(
             'max_in_progress',
-            _DEFAULT_IN_PROGRESS,
+            _DEFAULT_MAX_IN_PROGRESS,
         )
         self.tokens_per_second = document.get(
             'tokens_per_second',
-            _DEFAULT_TOKEN_RATE,
+            _DEFAULT_TOKENS_PER_SECOND,
         )
 
 
 class Policy:
-    """Choices that hold for the whole system."""
+    """System-wide routing and placement settings."""
 
     __slots__ = ('placement', 'routing')
 
     def __init__(self, document):
-        """Create the policy.
+        """Create the policy from its document.
 
         Args:
-          document: A map that agrees with the schema.
+          document: A map that conforms to the schema.
         """
         self.routing = document.get('routing', 'earliest-start')
         self.placement = document.get('placement', True)
 
 
 class Config:
-    """One revision of the configuration, checked and whole.
+    """One validated revision of the configuration.
 
     Attributes:
       revision: The platform's revision, an int.
-      models, pools, classes, accounts: Maps from name to object.
+      models, pools, classes, accounts: Maps of names to objects.
       policy: A Policy.
     """
 
@@ -173,8 +174,8 @@
 
         Args:
           revision: The platform's revision, an int.
-          sections: A map from section name to a map of names to objects, and
-            from "policy" to a Policy.
+          sections: A map of section names to maps of names to objects; the
+            value of "policy" is a Policy.
         """
         self.revision = revision
         self.models = sections['models']
