--- a/crankchute/core/config_check.py
+++ b/crankchute/core/config_check.py
@@ -1,9 +1,9 @@
-"""Reading a published configuration: all findings at once, or a Config.
+"""Validation and loading of a published configuration.
 
-Every instance decides alone whether to take a revision, so the check is a
-pure function of the documents: all instances come to the same verdict.  A
-document that did not change since the last revision is not checked again, so
-that one change among many accounts costs what the change is.
+Each instance decides independently whether to accept a revision.  Validation
+depends only on the documents, so all instances reach the same result.
+Results are cached per document: only documents that changed since the last
+revision are checked against the schema again.
 """
 
 from collections import Counter
@@ -12,7 +12,7 @@
 from crankchute.core.config_documents import (
     LIST_SECTIONS,
     POLICY_SECTION,
-    check_document,
+    validate_document,
 )
 from crankchute.core.labels import match_labels
 from crankchute.core.policies import routing_policies
@@ -20,101 +20,107 @@
 
 
 def load_config(revision, documents, cache=None):
-    """Check published documents and make a configuration of them.
+    """Validate published documents and build a configuration from them.
 
     Args:
       revision: The platform's revision, an int.
-      documents: A map of keys to the bytes published under them.
-      cache: A map that this function keeps from one revision to the next, or
-        None to check everything.
+      documents: A map of keys to published bytes.
+      cache: A map in which this function stores validated documents for the
+        next call, or None to validate every document.
     Returns:
       A Config.
     Raises:
-      ConfigError: With every finding, if there is any.
+      ConfigError: If the configuration is invalid; carries the findings of
+        the first stage that fails: schema, duplicate names, references.
     """
-    checked = _check_all(documents, {} if cache is None else cache)
+    validated = _validate_documents(documents, {} if cache is None else cache)
     findings = [
-        finding for document in checked for finding in document.findings
+        finding for document in validated for finding in document.findings
     ]
     if not findings:
-        findings.extend(_check_names(checked))
+        findings.extend(_find_duplicate_names(validated))
     if not findings:
-        config = Config(revision, _gather(checked))
-        findings.extend(_check_ties(config))
+        config = Config(revision, _merge_sections(validated))
+        findings.extend(_check_references(config))
     if findings:
         raise ConfigError(findings)
     return config
 
 
-def _check_all(documents, cache):
-    for gone in cache.keys() - documents.keys():
-        cache.pop(gone)
+def _validate_documents(documents, cache):
+    for deleted_key in cache.keys() - documents.keys():
+        cache.pop(deleted_key)
     for key, payload in documents.items():
-        known = cache.get(key)
-        if known is None or known.payload != payload:
-            cache[key] = check_document(key, payload)
-    return [cache[name] for name in sorted(cache)]
+        cached = cache.get(key)
+        if cached is None or cached.payload != payload:
+            cache[key] = validate_document(key, payload)
+    return [cache[cached_key] for cached_key in sorted(cache)]
 
 
-def _gather(checked):
+def _merge_sections(validated):
     sections = {name: {} for name in LIST_SECTIONS}
     sections[POLICY_SECTION] = Policy({})
-    for document in checked:
+    for document in validated:
         if document.section == POLICY_SECTION:
-            sections[POLICY_SECTION] = document.things[0]
+            sections[POLICY_SECTION] = document.definitions[0]
             continue
         section = sections[document.section]
-        section.update({thing.name: thing for thing in document.things})
+        section.update(
+            {definition.name: definition for definition in document.definitions}
+        )
     return sections
 
 
-def _check_names(checked):
+def _find_duplicate_names(validated):
     for section in LIST_SECTIONS:
-        names = Counter()
-        for document in checked:
+        counts = Counter()
+        for document in validated:
             if document.section == section:
-                names.update(thing.name for thing in document.things)
-        if names and max(names.values()) > 1:
-            yield from _find_repeated(section, names)
+                counts.update(
+                    definition.name for definition in document.definitions
+                )
+        if counts and max(counts.values()) > 1:
+            yield from _report_duplicates(section, counts)
 
 
-def _find_repeated(section, names):
-    for name, count in names.items():
+def _report_duplicates(section, counts):
+    for name, count in counts.items():
         if count > 1:
-            yield Finding(f'{section}.{name}', 'is named twice')
+            yield Finding(f'{section}.{name}', 'is defined more than once')
 
 
-def _check_ties(config):
+def _check_references(config):
     yield from _check_pools(config)
     yield from _check_classes(config)
     routing = config.policy.routing
     if routing not in routing_policies:
-        known = ', '.join(sorted(routing_policies))
-        yield Finding('policy.routing', f'{routing!r} is not one of {known}')
+        policies = ', '.join(sorted(routing_policies))
+        yield Finding('policy.routing', f'{routing!r} is not one of {policies}')
 
 
 def _check_pools(config):
     for pool in config.pools.values():
-        place = f'pools.{pool.name}.models'
+        location = f'pools.{pool.name}.models'
         if pool.kind == 'service' and pool.models:
-            yield Finding(place, 'a service pool has no models')
+            yield Finding(location, 'a service pool cannot list models')
         if pool.kind == 'model' and not pool.models:
-            yield Finding(place, 'a model pool needs a model')
+            yield Finding(location, 'a model pool must list at least one model')
         unknown = [name for name in pool.models if name not in config.models]
         for name in unknown:
-            yield Finding(place, f'there is no model {name!r}')
+            yield Finding(location, f'unknown model {name!r}')
 
 
 def _check_classes(config):
     for workload in config.classes.values():
-        place = f'classes.{workload.name}'
-        if not _selects(workload.pools, config.pools):
-            yield Finding(f'{place}.pools', 'selects no pool')
-        if not _selects(workload.accounts, config.accounts):
-            yield Finding(f'{place}.accounts', 'selects no account')
+        location = f'classes.{workload.name}'
+        if not _matches_any(workload.pools, config.pools):
+            yield Finding(f'{location}.pools', 'matches no pool')
+        if not _matches_any(workload.accounts, config.accounts):
+            yield Finding(f'{location}.accounts', 'matches no account')
 
 
-def _selects(selector, things):
+def _matches_any(selector, candidates):
     return any(
-        match_labels(selector, thing.labels) for thing in things.values()
+        match_labels(selector, candidate.labels)
+        for candidate in candidates.values()
     )
--- a/crankchute/core/config_documents.py
+++ b/crankchute/core/config_documents.py
@@ -1,8 +1,8 @@
-"""The check of one published document by the schema.
+"""Schema validation of one published document.
 
-Right documents are accepted by a compiled schema, since a revision may hold
-many thousand accounts; for a wrong one a slower library collects every
-finding with its place.
+A compiled validator checks every document, since a revision may hold many
+thousands of accounts.  It stops at the first error, so a document that fails
+is validated again by a slower library that reports all errors and locations.
 """
 
 import functools
@@ -33,83 +33,84 @@
 _DEFS = '$defs'
 
 
-class CheckedDocument:
-    """One document after its check by the schema.
+class ValidatedDocument:
+    """A document and the result of its validation.
 
     Attributes:
-      payload: The bytes that were published.
-      section: The section that the document's key belongs to.
-      things: The objects that it describes, a list; for the policy one.
-      findings: What is wrong with it, a list of Finding.
+      payload: The published bytes.
+      section: The configuration section, from the first part of the key.
+      definitions: The objects built from the document, a list; empty if the
+        document is invalid, one Policy for the policy section.
+      findings: A list of Finding; empty if the document is valid.
     """
 
-    __slots__ = ('findings', 'payload', 'section', 'things')
+    __slots__ = ('definitions', 'findings', 'payload', 'section')
 
     def __init__(self, payload, section):
-        """Create the record of a document without objects or findings.
+        """Create a result without definitions or findings.
 
         Args:
-          payload: The bytes that were published.
-          section: The section that the document's key belongs to.
+          payload: The published bytes.
+          section: The configuration section, from the first part of the key.
         """
         self.payload = payload
         self.section = section
-        self.things = []
+        self.definitions = []
         self.findings = []
 
 
 @functools.cache
 def load_schema():
-    """Return the JSON schema of the configuration, a map."""
+    """Return the JSON schema of the configuration as a map."""
     package = files('crankchute.core')
     return orjson.loads(package.joinpath('config_schema.json').read_bytes())
 
 
-def check_document(key, payload):
-    """Check one document.
+def validate_document(key, payload):
+    """Validate one document and build its definitions.
 
     Args:
-      key: The key that it is published under.
-      payload: Its bytes.
+      key: The key under which it is published.
+      payload: The published bytes.
     Returns:
-      A CheckedDocument, with findings or with objects.
+      A ValidatedDocument with either findings or definitions.
     """
     section = key.split('/', 1)[0]
-    checked = CheckedDocument(payload, section)
+    validated = ValidatedDocument(payload, section)
     if section not in _SECTIONS:
-        text = 'is not a key of the configuration'
-        checked.findings.append(Finding(key, text))
-        return checked
+        message = 'is not a configuration key'
+        validated.findings.append(Finding(key, message))
+        return validated
     try:
         document = orjson.loads(payload)
     except orjson.JSONDecodeError as exc:
-        checked.findings.append(Finding(key, f'is not JSON: {exc}'))
-        return checked
-    checked.findings.extend(_find_violations(key, section, document))
-    if not checked.findings:
-        checked.things = _make_things(section, document)
-    return checked
+        validated.findings.append(Finding(key, f'is not JSON: {exc}'))
+        return validated
+    validated.findings.extend(_find_violations(key, section, document))
+    if not validated.findings:
+        validated.definitions = _build_definitions(section, document)
+    return validated
 
 
 @functools.cache
-def _schema_of(section):
+def _section_schema(section):
     schema = load_schema()
-    part = dict(schema[_DEFS][section])
-    part[_DEFS] = schema[_DEFS]
-    return part
+    section_schema = dict(schema[_DEFS][section])
+    section_schema[_DEFS] = schema[_DEFS]
+    return section_schema
 
 
 @functools.cache
-def _fast_check(section):
-    return fastjsonschema.compile(_schema_of(section))
+def _compiled_validator(section):
+    return fastjsonschema.compile(_section_schema(section))
 
 
 def _find_violations(key, section, document):
-    """Accept fast what is right; collect every finding of what is not."""
+    """Return all schema violations as findings; empty if valid."""
     try:
-        _fast_check(section)(document)
+        _compiled_validator(section)(document)
     except fastjsonschema.JsonSchemaValueException:
-        validator = jsonschema.Draft202012Validator(_schema_of(section))
+        validator = jsonschema.Draft202012Validator(_section_schema(section))
         return [
             Finding(f'{key}{error.json_path[1:]}', error.message)
             for error in validator.iter_errors(document)
@@ -117,8 +118,8 @@
     return []
 
 
-def _make_things(section, document):
+def _build_definitions(section, document):
     if section == POLICY_SECTION:
         return [Policy(document)]
     factory = dict(_FACTORIES)[section]
-    return [factory(part) for part in document]
+    return [factory(entry) for entry in document]
