--- a/crankchute/core/config_holder.py
+++ b/crankchute/core/config_holder.py
@@ -1,9 +1,9 @@
 """The configuration in force in one process.
 
-A revision is taken whole after all its findings are collected, or refused
-whole.  Two copies are kept: the newest revision accepted, which a restarted
-instance must be able to get from its peers, and the newest revision seen,
-which may have been refused.  Neither ever falls.
+A revision is validated and then accepted or refused as a whole.  Two replicas
+are kept: the newest accepted revision, which peers pass on to restarted
+instances, and the newest seen revision, which may have been refused.  Neither
+revision number ever decreases.
 """
 
 from crankchute.core.config_check import load_config
@@ -12,16 +12,18 @@
 
 
 class ConfigHolder:
-    """Holds the newest accepted configuration and what was refused.
+    """Holds the newest accepted configuration and the last refusal.
 
     Attributes:
       config: The Config in force, or None before the first.
-      findings: The findings of the newest refused revision, a tuple.
-      refused_revision: That revision, or None if the newest is in force.
+      findings: A tuple of the findings of the refused revision; empty if the
+        newest seen revision is in force.
+      refused_revision: The newest seen revision if it was refused, else
+        None.
     """
 
     def __init__(self):
-        """Create the holder without a configuration."""
+        """Create a holder without a configuration."""
         self._accepted = Replica()
         self._seen = Replica()
         self._listeners = []
@@ -32,38 +34,38 @@
 
     @property
     def seen_revision(self):
-        """The highest revision seen, accepted or not, an int."""
+        """The highest revision seen, accepted or refused, an int."""
         return self._seen.revision
 
     @property
     def revision(self):
-        """The revision in force, an int; 0 before the first."""
+        """The revision in force, an int; 0 before the first one."""
         return self._accepted.revision
 
     @property
     def version(self):
-        """The revision in force, as log lines name it."""
+        """The revision in force, under the name used in log lines."""
         return self.revision
 
     def proof_age_ms(self, _now_ms):
-        """Return None: the age of a revision is not proved here."""
+        """Return None: this holder does not track how fresh a revision is."""
 
     def subscribe(self, listener):
-        """Be told of each configuration that comes into force.
+        """Register a listener for each configuration that takes effect.
 
         Args:
-          listener: A function of a Config.
+          listener: A function that is called with the new Config.
         """
         self._listeners.append(listener)
 
     def changes_for(self, in_force, seen):
-        """Return what another instance lacks.
+        """Return the changes that another instance is missing.
 
         Args:
-          in_force: The revision in force at the other instance.
+          in_force: The revision in force on the other instance.
           seen: The highest revision that it has seen.
         Returns:
-          A ChangeSet, or None if it lacks nothing.
+          A ChangeSet, or None if it is up to date.
         """
         if self._accepted.revision > in_force:
             return self._accepted.changes_since(in_force)
@@ -72,12 +74,12 @@
         return None
 
     def offer(self, changes):
-        """Take a change set if it leads higher.
+        """Apply a change set if it leads to a newer revision.
 
         Args:
-          changes: A ChangeSet from the platform or from a peer.
+          changes: A ChangeSet from the platform or a peer.
         Returns:
-          True if the revision seen or the revision in force rose.
+          True if the seen revision or the revision in force increased.
         """
         is_newest = changes.revision > self._seen.revision
         base = self._seen if is_newest else self._accepted
@@ -94,17 +96,17 @@
                 self._cache,
             )
         except ConfigError as exc:
-            self._note_refusal(changes.revision, exc.findings)
+            self._record_refusal(changes.revision, exc.findings)
             return is_newest
-        self._put_in_force(config, base.advanced(changes))
+        self._activate(config, base.advanced(changes))
         return True
 
-    def _note_refusal(self, revision, findings):
+    def _record_refusal(self, revision, findings):
         if revision == self._seen.revision:
             self.findings = findings
             self.refused_revision = revision
 
-    def _put_in_force(self, config, replica):
+    def _activate(self, config, replica):
         self.config = config
         self._accepted = replica
         if config.revision == self._seen.revision:
