--- a/crankchute/core/config_test.py
+++ b/crankchute/core/config_test.py
@@ -1,4 +1,4 @@
-"""Tests of the configuration: all findings, whole revisions, no way back."""
+"""Tests of configuration validation and of the revision in force."""
 
 from pathlib import Path
 from types import MappingProxyType
@@ -13,7 +13,7 @@
 from crankchute.errors import ConfigError
 
 _EXAMPLES = Path(__file__).resolve().parents[2] / 'examples'
-_GOOD = MappingProxyType(
+_VALID = MappingProxyType(
     {
         'models': [{'name': 'small', 'version': 'v1'}],
         'pools': [
@@ -30,30 +30,30 @@
 )
 
 
-def _documents(**changes):
+def _make_documents(**changes):
     return {
         key: orjson.dumps(document)
-        for key, document in {**_GOOD, **changes}.items()
+        for key, document in {**_VALID, **changes}.items()
     }
 
 
-def _changes(since, revision, **changes):
+def _make_changes(since, revision, **changes):
     entries = {
         key: Entry(revision, payload)
-        for key, payload in _documents(**changes).items()
+        for key, payload in _make_documents(**changes).items()
     }
     return ChangeSet(since, revision, entries)
 
 
 @pytest.mark.parametrize('name', ['ticketing', 'yards'])
 def test_examples_are_valid(name):
-    """The worked examples pass the check."""
+    """The example configurations pass validation."""
     config = load_config(1, read_folder(str(_EXAMPLES / name)))
     assert len(config.accounts) == 10
 
 
 @pytest.mark.parametrize(
-    ('changes', 'places'),
+    ('changes', 'locations'),
     [
         ({'models': [{'name': 'Bad Name'}]}, {'models[0]', 'models[0].name'}),
         (
@@ -87,41 +87,41 @@
         ({'policy': {'no': 1}, 'models': 5}, {'policy', 'models'}),
     ],
 )
-def test_findings_name_every_place(changes, places):
-    """All findings are reported together, each with its place."""
+def test_findings_report_every_location(changes, locations):
+    """All findings are reported together, each with its location."""
     with pytest.raises(ConfigError) as caught:
-        load_config(1, _documents(**changes))
-    assert {finding.place for finding in caught.value.findings} == places
+        load_config(1, _make_documents(**changes))
+    assert {finding.place for finding in caught.value.findings} == locations
 
 
-def test_broken_json_is_a_finding():
-    """A document that is not JSON is named."""
+def test_invalid_json_is_reported():
+    """A document that is not JSON is reported under its key."""
     with pytest.raises(ConfigError, match='models: is not JSON'):
-        load_config(1, {**_documents(), 'models': b'{'})
+        load_config(1, {**_make_documents(), 'models': b'{'})
 
 
-def test_revision_never_falls():
-    """A stale replica's older revision is not taken."""
+def test_revision_never_decreases():
+    """Older and repeated revisions are ignored."""
     holder = ConfigHolder()
-    assert holder.offer(_changes(0, 5))
-    assert not holder.offer(_changes(0, 4))
-    assert not holder.offer(_changes(0, 5))
+    assert holder.offer(_make_changes(0, 5))
+    assert not holder.offer(_make_changes(0, 4))
+    assert not holder.offer(_make_changes(0, 5))
     assert holder.revision == 5
 
 
-def test_changes_with_a_gap_are_not_taken():
-    """A change set that starts after the revision held leaves a gap."""
+def test_changes_after_a_gap_are_ignored():
+    """A change set that starts after the current revision is ignored."""
     holder = ConfigHolder()
-    holder.offer(_changes(0, 5))
-    assert not holder.offer(_changes(7, 8))
+    holder.offer(_make_changes(0, 5))
+    assert not holder.offer(_make_changes(7, 8))
     assert holder.revision == 5
 
 
-def test_invalid_revision_is_refused_whole():
-    """A refused revision changes nothing, and the next good one is taken."""
+def test_invalid_revision_is_refused_as_a_whole():
+    """A refused revision has no effect until a later one is valid."""
     holder = ConfigHolder()
-    holder.offer(_changes(0, 1))
-    bad = ChangeSet(
+    holder.offer(_make_changes(0, 1))
+    invalid = ChangeSet(
         1,
         2,
         {
@@ -129,7 +129,7 @@
             'models': Entry(2, b'[]'),
         },
     )
-    assert holder.offer(bad)
+    assert holder.offer(invalid)
     assert holder.revision == 1
     assert holder.refused_revision == 2
     assert 'new' not in holder.config.accounts
@@ -138,7 +138,7 @@
             2,
             3,
             {
-                'models': Entry(3, _documents()['models']),
+                'models': Entry(3, _make_documents()['models']),
             },
         )
     )
@@ -147,12 +147,12 @@
 
 
 def test_restarted_instance_gets_accepted_revision_after_refused_one():
-    """Who saw only a refused revision still gets the one in force."""
+    """An instance that saw only a refused revision gets the accepted one."""
     peer = ConfigHolder()
-    peer.offer(_changes(0, 1))
+    peer.offer(_make_changes(0, 1))
     peer.offer(ChangeSet(1, 2, {'models': Entry(2, b'[]')}))
     restarted = ConfigHolder()
-    restarted.offer(_changes(0, 2, models=[]))
+    restarted.offer(_make_changes(0, 2, models=[]))
     assert restarted.revision == 0
     restarted.offer(
         peer.changes_for(restarted.revision, restarted.seen_revision)
@@ -162,11 +162,11 @@
 
 
 def test_deleted_key_stays_deleted():
-    """A deletion is passed on to instances that lack it."""
+    """A deleted key does not reach instances that join later."""
     holder = ConfigHolder()
     extra = {'accounts/extra': [{'name': 'extra'}]}
-    holder.offer(_changes(0, 1, **extra))
+    holder.offer(_make_changes(0, 1, **extra))
     holder.offer(ChangeSet(1, 2, {'accounts/extra': Entry(2, None)}))
-    late = ConfigHolder()
-    late.offer(holder.changes_for(0, 0))
-    assert set(late.config.accounts) == {'north'}
+    newcomer = ConfigHolder()
+    newcomer.offer(holder.changes_for(0, 0))
+    assert set(newcomer.config.accounts) == {'north'}
