--- a/crankchute/core/forward_config.py
+++ b/crankchute/core/forward_config.py
@@ -1,9 +1,9 @@
-"""The configuration of forwarding that is in force, and how fresh it is.
+"""The forwarding configuration in force, and its freshness.
 
-Versions only rise.  That a version is the newest is proved by an answer of
-the platform that was asked for after a given moment; the proof ages from the
-moment of asking.  Peers pass a proof on with its age, so an instance that is
-cut off from the platform alone keeps serving.
+Versions only increase.  A platform response proves that a version was the
+newest when the request for it was sent, so the age of the proof is measured
+from that time.  Peers exchange proofs together with their age, so an instance
+that loses only its own connection to the platform can keep serving.
 """
 
 from crankchute.core.proof import Proof
@@ -15,15 +15,15 @@
 
     Attributes:
       name: The pool's name.
-      max_connections: What one server accepts from all instances together.
-      figures: EngineFigures, or None for a plain service.
-      health_path: Where servers tell whether they are well.
+      max_connections: The connection limit of one server, over all instances.
+      figures: The EngineFigures of the pool's engines, or None for services.
+      health_path: The path of the servers' health check.
     """
 
     __slots__ = ('figures', 'health_path', 'max_connections', 'name')
 
     def __init__(self, name, max_connections, figures, health_path='/'):
-        """Create the pool.
+        """Create a pool.
 
         Args:
           name: A string.
@@ -38,18 +38,18 @@
 
 
 class IntakeConfig:
-    """What callers may send, and how long connections may rest."""
+    """Size and time limits for client connections and their requests."""
 
     __slots__ = ('body_bytes', 'head_bytes', 'head_ms', 'idle_ms')
 
     def __init__(self, *, head_bytes, body_bytes, head_ms, idle_ms):
-        """Create the bounds.
+        """Create the limits.
 
         Args:
-          head_bytes: The largest headers, in bytes.
-          body_bytes: The largest body, in bytes.
-          head_ms: How long headers may take, in milliseconds.
-          idle_ms: How long a connection may rest, in milliseconds.
+          head_bytes: The maximum size of the headers, in bytes.
+          body_bytes: The maximum size of the body, in bytes.
+          head_ms: The timeout for receiving the headers, in milliseconds.
+          idle_ms: The timeout for idle connections, in milliseconds.
         """
         self.head_bytes = head_bytes
         self.body_bytes = body_bytes
@@ -58,17 +58,17 @@
 
 
 class KeyOwner:
-    """The client account that a key belongs to.
+    """The client account that owns an API key.
 
     Attributes:
       account: The account's name.
-      priority: Goes before that of a route, or None.
+      priority: An int that overrides the priority of the route, or None.
     """
 
     __slots__ = ('account', 'priority')
 
     def __init__(self, account, priority):
-        """Create the record.
+        """Create the owner of a key.
 
         Args:
           account: A string.
@@ -79,27 +79,27 @@
 
 
 class ForwardConfig:
-    """One version of the configuration.
+    """One version of the forwarding configuration.
 
     Attributes:
-      version: Rises with each change, an int.
+      version: An int that increases with each change.
       routes: A RouteTable.
-      pools: A map from name to PoolConfig.
-      keys: A map from key to KeyOwner, or None if no request needs a key.
-      intake: An IntakeConfig, or None.
+      pools: A map of names to PoolConfig.
+      keys: A map of API keys to KeyOwner, or None if keys are not required.
+      intake: An IntakeConfig, or None if the document sets no limits.
     """
 
     __slots__ = ('intake', 'keys', 'pools', 'routes', 'version')
 
     def __init__(self, version, routes, pools, *, keys=None, intake=None):
-        """Create the configuration.
+        """Create a configuration.
 
         Args:
           version: An int.
           routes: An iterable of Route.
           pools: An iterable of PoolConfig.
-          keys: See the class.
-          intake: See the class.
+          keys: See the class attributes.
+          intake: See the class attributes.
         """
         self.version = version
         self.routes = RouteTable(routes)
@@ -109,15 +109,15 @@
 
 
 class ForwardConfigHolder:
-    """The newest configuration known here, and the age of its proof.
+    """The newest known configuration and the age of its freshness proof.
 
     Attributes:
       config: A ForwardConfig, or None before the first.
-      source: What the configuration was decoded from, for peers; bytes.
+      source: The encoded configuration as bytes, which is sent to peers.
     """
 
     def __init__(self):
-        """Create the holder without a configuration."""
+        """Create a holder without a configuration."""
         self._listeners = []
         self.config = None
         self.source = b''
@@ -125,25 +125,25 @@
 
     @property
     def version(self):
-        """The version in force, 0 before the first."""
+        """The version in force, an int; 0 before the first one."""
         return 0 if self.config is None else self.config.version
 
     def subscribe(self, listener):
-        """Be told of each configuration that comes into force.
+        """Register a listener for each configuration that takes effect.
 
         Args:
-          listener: A function of a ForwardConfig.
+          listener: A function that is called with the new ForwardConfig.
         """
         self._listeners.append(listener)
 
     def offer(self, config, source):
-        """Take a configuration unless it is older than the one in force.
+        """Put a configuration into force if it is newer than the current one.
 
         Args:
           config: A ForwardConfig.
-          source: The bytes it was decoded from.
+          source: The bytes from which it was decoded.
         Returns:
-          True if it came into force.
+          True if it took effect.
         """
         if config.version <= self.version:
             return False
@@ -154,19 +154,21 @@
         return True
 
     def prove(self, version, asked_ms):
-        """Note that a version was the newest at a moment.
+        """Record that a version was the newest at a given time.
+
+        Ignored unless that version is in force.
 
         Args:
-          version: The version that was proved.
-          asked_ms: The moment, on this process's clock.
+          version: The version that was confirmed as the newest.
+          asked_ms: The time of the request, in milliseconds on the local clock.
         """
         if version == self.version:
             self._proof.note(asked_ms)
 
     def proof_age_ms(self, now_ms):
-        """Return the age of the proof in milliseconds, or None.
+        """Return the age of the newest proof in milliseconds, or None.
 
         Args:
-          now_ms: The time on this process's clock.
+          now_ms: The current time, in milliseconds on the local clock.
         """
         return self._proof.age_ms(now_ms)
--- a/crankchute/core/forward_config_test.py
+++ b/crankchute/core/forward_config_test.py
@@ -1,4 +1,4 @@
-"""Tests of the versions in force and of the age of their proof."""
+"""Tests of the forwarding configuration in force and its freshness."""
 
 import pytest
 
@@ -13,17 +13,17 @@
     ('offered', 'in_force'),
     [([1, 3, 2], 3), ([5, 5], 5), ([2, 9, 4, 10], 10)],
 )
-def test_versions_only_rise(offered, in_force):
+def test_versions_only_increase(offered, in_force):
     holder = ForwardConfigHolder()
-    told = []
-    holder.subscribe(lambda config: told.append(config.version))
+    notified = []
+    holder.subscribe(lambda config: notified.append(config.version))
     for version in offered:
         holder.offer(make_config(version), b'')
     assert holder.version == in_force
-    assert told == sorted(set(told))
+    assert notified == sorted(set(notified))
 
 
-def test_proof_ages_from_the_moment_of_asking():
+def test_proof_age_is_measured_from_the_request():
     holder = ForwardConfigHolder()
     assert holder.proof_age_ms(0) is None
     holder.offer(make_config(1), b'')
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize('version', [0, 1, 3])
-def test_proof_of_another_version_proves_nothing(version):
+def test_proof_of_another_version_is_ignored(version):
     holder = ForwardConfigHolder()
     holder.offer(make_config(2), b'')
     holder.prove(version, 100)
