--- a/crankchute/core/log_history.py
+++ b/crankchute/core/log_history.py
@@ -1,9 +1,9 @@
-"""The history of one request, from the log lines of several instances."""
+"""The history of one request, from the logs of several instances."""
 
 _PREFIX = 'crankchute:'
-_OMITTED = 'log_omitted'
-#: Fields that are told apart from the rest, or not at all.
-_COMMON = frozenset(
+_OMITTED_MESSAGE_TYPE = 'log_omitted'
+#: Fields that are rendered separately or not at all.
+_EXCLUDED_FIELDS = frozenset(
     (
         'message_type',
         'task_level',
@@ -13,51 +13,53 @@
         'instance_name',
     )
 )
-#: Lines about a backend server are shown if they are this near a request.
-_NEAR_S = 5
+#: How long before and after a request related lines are shown, in seconds.
+_CONTEXT_WINDOW_S = 5
 
 
 class LogLine:
     """One line of a log.
 
     Attributes:
-      at_s: When it was written, by the writer's time of day, in seconds.
+      timestamp_s: When it was written, by the writer's clock, in seconds.
       source: The instance or file that it comes from.
-      kind: What it tells, such as "attempt".
-      fields: The map of all its values.
+      message_type: The message type without its prefix, such as "attempt".
+      fields: A map of all its fields.
     """
 
-    __slots__ = ('at_s', 'fields', 'kind', 'source')
+    __slots__ = ('fields', 'message_type', 'source', 'timestamp_s')
 
     def __init__(self, source, fields):
-        """Create the line.
+        """Create a line.
 
         Args:
           source: The instance or file.
           fields: A map of JSON values.
         """
-        self.at_s = fields.get('timestamp', 0)
+        self.timestamp_s = fields.get('timestamp', 0)
         self.source = source
-        self.kind = str(fields.get('message_type', '')).removeprefix(_PREFIX)
+        self.message_type = str(fields.get('message_type', '')).removeprefix(
+            _PREFIX
+        )
         self.fields = fields
 
 
 class History:
-    """What is known of one request.
+    """The log lines that concern one request.
 
     Attributes:
-      lines: Its LogLines and those that explain them, in order.
-      omitted: LogLines that tell of lines left out meanwhile.
+      lines: The LogLines of the request and its context, in order of time.
+      omitted: LogLines that report lines omitted during the request.
     """
 
     __slots__ = ('lines', 'omitted')
 
     def __init__(self, lines, omitted):
-        """Create the history.
+        """Create a history.
 
         Args:
-          lines: LogLines in order.
-          omitted: LogLines.
+          lines: LogLines in order of time.
+          omitted: LogLines that report omitted lines.
         """
         self.lines = lines
         self.omitted = omitted
@@ -68,88 +70,100 @@
 
     Args:
       lines: LogLines of all instances.
-      request_id: The request's id, or its fingerprint: then the histories of
-        all its submissions are told together.
+      request_id: The id of the request, or its fingerprint to include all
+        submissions of the same request.
     Returns:
-      A History; without lines if the request is in no log.
+      A History; empty if the request is in none of the logs.
     """
-    wanted = {request_id, *_list_submissions(lines, request_id)}
+    request_ids = {request_id, *_find_submission_ids(lines, request_id)}
     own = [
-        one
-        for one in lines
-        if one.fields.get('request') in wanted
-        or one.fields.get('fingerprint') == request_id
+        line
+        for line in lines
+        if line.fields.get('request') in request_ids
+        or line.fields.get('fingerprint') == request_id
     ]
     if not own:
         return History([], [])
-    servers = {one.fields.get('server') for one in own}
+    servers = {line.fields.get('server') for line in own}
     servers.discard(None)
-    sources = {one.source for one in own}
-    first_s = min(one.at_s for one in own)
-    last_s = max(one.at_s for one in own)
-    near = [
-        one
-        for one in lines
-        if first_s - _NEAR_S <= one.at_s <= last_s + _NEAR_S
+    sources = {line.source for line in own}
+    first_s = min(line.timestamp_s for line in own)
+    last_s = max(line.timestamp_s for line in own)
+    nearby = [
+        line
+        for line in lines
+        if first_s - _CONTEXT_WINDOW_S
+        <= line.timestamp_s
+        <= last_s + _CONTEXT_WINDOW_S
     ]
-    around = [
-        one
-        for one in near
-        if 'request' not in one.fields
-        and (one.source in sources)
-        and _explains(one, servers)
+    context = [
+        line
+        for line in nearby
+        if 'request' not in line.fields
+        and (line.source in sources)
+        and _is_context(line, servers)
     ]
     omitted = [
-        one for one in near if one.kind == _OMITTED and one.source in sources
+        line
+        for line in nearby
+        if line.message_type == _OMITTED_MESSAGE_TYPE and line.source in sources
     ]
-    return History(sorted([*own, *around], key=_time_of), omitted)
+    return History(sorted([*own, *context], key=_get_timestamp), omitted)
 
 
 def render_history(history):
-    """Return a history as lines of text for people.
+    """Return a history as a list of lines of text.
 
     Args:
       history: A History with lines.
     """
-    start_s = min(one.at_s for one in history.lines if _has_request(one))
-    texts = [_render_line(one, start_s) for one in history.lines]
+    start_s = min(
+        line.timestamp_s for line in history.lines if _has_request(line)
+    )
+    texts = [_render_line(line, start_s) for line in history.lines]
     texts.extend(
-        f'note: {one.source} left out lines of these kinds: '
-        f'{one.fields.get("omitted")}, unread: {one.fields.get("unread")}'
-        for one in history.omitted
+        f'note: {line.source} left out lines of these kinds: '
+        f'{line.fields.get("omitted")}, unread: {line.fields.get("unread")}'
+        for line in history.omitted
     )
     return texts
 
 
-def _list_submissions(lines, fingerprint):
-    """Return the ids of all submissions of the same request."""
+def _find_submission_ids(lines, fingerprint):
     return [
-        one.fields['request']
-        for one in lines
-        if _has_request(one) and one.fields.get('fingerprint') == fingerprint
+        line.fields['request']
+        for line in lines
+        if _has_request(line) and line.fields.get('fingerprint') == fingerprint
     ]
 
 
-def _explains(line, servers):
+def _is_context(line, servers):
     if line.fields.get('server') in servers:
         return True
-    return line.kind in {'config_in_force', 'store_lost', 'store_regained'}
+    return line.message_type in {
+        'config_in_force',
+        'store_lost',
+        'store_regained',
+    }
 
 
 def _render_line(line, start_s):
-    mark = ' ' if _has_request(line) else '*'
-    shown = ' '.join(
-        f'{name}={found}'
-        for name, found in line.fields.items()
-        if name not in _COMMON and found is not None
+    marker = ' ' if _has_request(line) else '*'
+    fields = ' '.join(
+        f'{name}={field}'
+        for name, field in line.fields.items()
+        if name not in _EXCLUDED_FIELDS and field is not None
+    )
+    after_ms = (line.timestamp_s - start_s) * 1000  # noqa: WPS432  (ms in a second)
+    return (
+        f'{after_ms:10.1f} ms {marker} {line.source}  {line.message_type}'
+        f'  {fields}'
     )
-    after_ms = (line.at_s - start_s) * 1000  # noqa: WPS432  (ms in a second)
-    return f'{after_ms:10.1f} ms {mark} {line.source}  {line.kind}  {shown}'
 
 
 def _has_request(line):
     return 'request' in line.fields
 
 
-def _time_of(line):
-    return line.at_s
+def _get_timestamp(line):
+    return line.timestamp_s
--- a/crankchute/core/log_losses.py
+++ b/crankchute/core/log_losses.py
@@ -1,32 +1,31 @@
-"""What was lost by which cause, from the log lines of several instances.
+"""Classification of failed and late requests by cause, from logs.
 
-Every request of a log has at most one cause, the first that applies, in the
-order in which the causes are registered: a request that was refused cannot be
-late, and one whose first event came late is not counted as paused too.
+Each request is attributed to at most one cause: the first one that applies,
+in the order of registration.
 """
 
 from crankchute.core.registry import Registry
 
-#: Functions of a Story that tell whether a cause applies, by its name, in the
-#: order in which they are asked.
+#: Maps the name of a cause to a function of a request's trace.  The function
+#: returns whether the cause applies, or a detail to append to the name.
 causes = Registry()
-_OK = 'ok'
+_OUTCOME_OK = 'ok'
 
 
-class Row:
-    """A row of the table of losses.
+class LossSummary:
+    """The requests that were lost by one cause.
 
     Attributes:
       cause: The name of the cause.
-      count: How many requests it cost.
-      after_start: How many of them soon after a start of their process.
-      tokens: The tokens of their prompts, summed up.
+      count: The number of requests.
+      after_start: The number of them soon after their process started.
+      tokens: The total length of their prompts, in tokens.
     """
 
     __slots__ = ('after_start', 'cause', 'count', 'tokens')
 
     def __init__(self, cause):
-        """Create an empty row.
+        """Create a summary without requests.
 
         Args:
           cause: A string.
@@ -36,119 +35,124 @@
         self.after_start = 0
         self.tokens = 0
 
-    def add(self, story):
-        """Count a Story."""
+    def add(self, trace):
+        """Add the trace of a request to the totals."""
         self.count += 1
-        self.after_start += story.is_after_start
-        self.tokens += story.tokens
+        self.after_start += trace.is_after_start
+        self.tokens += trace.tokens
 
 
-def split_losses(stories):
-    """Split what was lost by cause.
+def split_losses(traces):
+    """Group lost requests by cause.
 
     Args:
-      stories: A list of Story.
+      traces: A list of the requests' traces.
     Returns:
-      A list of Row, the costliest first.
+      A list of LossSummary, in descending order of tokens.
     """
-    rows = {}
-    for story in stories:
-        cause = find_cause(story)
+    summaries = {}
+    for trace in traces:
+        cause = classify_loss(trace)
         if cause is not None:
-            rows.setdefault(cause, Row(cause)).add(story)
-    return sorted(rows.values(), key=_cost_of, reverse=True)
+            summaries.setdefault(cause, LossSummary(cause)).add(trace)
+    return sorted(summaries.values(), key=_get_tokens, reverse=True)
 
 
-def find_cause(story):
+def classify_loss(trace):
     """Return the name of the cause by which a request was lost, or None.
 
     Args:
-      story: A Story.
+      trace: The request's trace.
     """
     for name, applies in causes.items():
-        found = applies(story)
-        if found:
-            return name if found is True else f'{name}: {found}'
+        detail = applies(trace)
+        if detail:
+            return name if detail is True else f'{name}: {detail}'
     return None
 
 
-def compare_predictions(stories):
-    """Compare when first events came with when they were predicted.
+def compare_predictions(traces):
+    """Compare the actual and predicted times of first events.
 
     Args:
-      stories: A list of Story.
+      traces: A list of the requests' traces.
     Returns:
-      A map from a pair of the band of lengths and of whether the process had
-      just started to the sorted ratios of seen by predicted.
+      A map of pairs (length band, whether the process had just started) to
+      sorted ratios of the actual to the predicted time.
     """
     ratios = {}
-    for story in stories:
-        for sent, ended in story.attempts:
-            predicted_ms = sent.get('predicted_ms')
-            seen_ms = (ended or {}).get('first_ms')
-            if predicted_ms and seen_ms is not None:
-                name = (story.band, story.is_after_start)
-                ratios.setdefault(name, []).append(seen_ms / predicted_ms)
-    return {name: sorted(found) for name, found in ratios.items()}
+    for trace in traces:
+        for attempt, attempt_end in trace.attempts:
+            predicted_ms = attempt.get('predicted_ms')
+            first_ms = (attempt_end or {}).get('first_ms')
+            if predicted_ms and first_ms is not None:
+                group = (trace.length_band, trace.is_after_start)
+                ratios.setdefault(group, []).append(first_ms / predicted_ms)
+    return {
+        group: sorted(group_ratios) for group, group_ratios in ratios.items()
+    }
 
 
 @causes.register('refused at once')
-def _is_refused(story):
-    return story.refusal is not None and story.refusal['code']
+def _is_refused(trace):
+    return trace.refusal is not None and trace.refusal['code']
 
 
-@causes.register('cut by the end of a process')
-def _is_cut(story):
-    return story.end is None
+@causes.register('interrupted by process exit')
+def _has_no_end(trace):
+    return trace.end is None
 
 
-@causes.register('ended')
-def _is_ended(story):
-    if story.end['outcome'] == _OK or story.end['code'] == 'caller_gone':
+@causes.register('failed')
+def _has_failed(trace):
+    if (
+        trace.end['outcome'] == _OUTCOME_OK
+        or trace.end['code'] == 'caller_gone'
+    ):
         return False
-    return story.end['code']
+    return trace.end['code']
 
 
-@causes.register('late, sent again after')
-def _is_repeated(story):
-    if not story.is_late or len(story.attempts) < 2:
+@causes.register('late, retried after')
+def _is_late_after_retry(trace):
+    if not trace.is_late or len(trace.attempts) < 2:
         return False
-    return str(story.last['cause'])
+    return str(trace.last_attempt['cause'])
 
 
 @causes.register('late, no slot')
-def _has_no_slot(story):
-    believed = (story.last or {}).get('believed') or {}
-    return story.is_late and bool(believed.get('lacking'))
+def _is_late_without_slot(trace):
+    believed = (trace.last_attempt or {}).get('believed') or {}
+    return trace.is_late and bool(believed.get('lacking'))
 
 
 @causes.register('late, as predicted')
-def _is_predicted_late(story):
-    if not story.is_late or story.last is None:
+def _is_late_as_predicted(trace):
+    if not trace.is_late or trace.last_attempt is None:
         return False
-    predicted_ms = story.last.get('predicted_ms')
+    predicted_ms = trace.last_attempt.get('predicted_ms')
     if predicted_ms is None:
         return False
-    return story.last['age_ms'] + predicted_ms > story.fields['goal_ms']
+    return trace.last_attempt['age_ms'] + predicted_ms > trace.fields['goal_ms']
 
 
-@causes.register('late, wrong belief')
-def _is_believed_wrong(story):
-    last = story.last or {}
-    return story.is_late and last.get('predicted_ms') is not None
+@causes.register('late, wrong prediction')
+def _is_late_despite_prediction(trace):
+    last_attempt = trace.last_attempt or {}
+    return trace.is_late and last_attempt.get('predicted_ms') is not None
 
 
-@causes.register('late, plain answer')
-def _is_late(story):
-    return story.is_late
+@causes.register('late, no prediction')
+def _is_late_without_prediction(trace):
+    return trace.is_late
 
 
 @causes.register('paused')
-def _is_paused(story):
-    gap_ms = story.fields.get('gap_ms')
-    longest_ms = story.last_end.get('longest_gap_ms') or 0
+def _exceeds_gap(trace):
+    gap_ms = trace.fields.get('gap_ms')
+    longest_ms = trace.last_attempt_end.get('longest_gap_ms') or 0
     return gap_ms is not None and longest_ms > gap_ms
 
 
-def _cost_of(row):
-    return row.tokens
+def _get_tokens(summary):
+    return summary.tokens
--- a/crankchute/core/log_losses_test.py
+++ b/crankchute/core/log_losses_test.py
@@ -1,4 +1,4 @@
-"""Tests of splitting what was lost by cause."""
+"""Tests of the classification of lost requests by cause."""
 
 import pytest
 
@@ -7,9 +7,11 @@
 from crankchute.core.log_stories import gather_stories
 
 
-def make_line(kind, at_s=100, **fields):
+def make_line(message_type, timestamp_s=100, **fields):
     fields.setdefault('request', 'r1')
-    fields.update(message_type=f'crankchute:{kind}', timestamp=at_s)
+    fields.update(
+        message_type=f'crankchute:{message_type}', timestamp=timestamp_s
+    )
     return LogLine('edge-1', fields)
 
 
@@ -37,19 +39,19 @@
     )
 
 
-FULL = (('lacking', 1),)
+ENGINE_WITHOUT_SLOT = (('lacking', 1),)
 
 
 @pytest.mark.parametrize(
     ('lines', 'cause'),
     [
         ([make_line('request_refused', code='x')], 'refused at once: x'),
-        ([make_request()], 'cut by the end of a process'),
-        ([make_request(), make_end('full', 'not_run')], 'ended: full'),
+        ([make_request()], 'interrupted by process exit'),
+        ([make_request(), make_end('full', 'not_run')], 'failed: full'),
         ([make_attempt(), make_attempt_end(), make_end()], None),
         (
             [make_attempt(), make_attempt_end(400), make_end()],
-            'late, wrong belief',
+            'late, wrong prediction',
         ),
         (
             [make_attempt(predicted_ms=350), make_attempt_end(400), make_end()],
@@ -57,7 +59,7 @@
         ),
         (
             [
-                make_attempt(believed=dict(FULL)),
+                make_attempt(believed=dict(ENGINE_WITHOUT_SLOT)),
                 make_attempt_end(400),
                 make_end(),
             ],
@@ -71,7 +73,7 @@
                 make_attempt_end(),
                 make_end(),
             ],
-            'late, sent again after: failed',
+            'late, retried after: failed',
         ),
         (
             [make_attempt(), make_attempt_end(longest_gap_ms=400), make_end()],
@@ -79,7 +81,7 @@
         ),
         (
             [make_attempt(), make_attempt_end(None), make_end('caller_gone')],
-            'late, wrong belief',
+            'late, wrong prediction',
         ),
         (
             [
@@ -87,38 +89,41 @@
                 make_attempt(predicted_ms=None),
                 make_end(),
             ],
-            'late, plain answer',
+            'late, no prediction',
         ),
     ],
 )
-def test_each_loss_has_one_cause(lines, cause):
-    if lines[0].kind == 'attempt':
+def test_lost_request_has_one_cause(lines, cause):
+    if lines[0].message_type == 'attempt':
         lines = [make_request(), *lines]
-    rows = split_losses(gather_stories(lines))
-    found = rows[0].cause if rows else None
+    summaries = split_losses(gather_stories(lines))
+    found = summaries[0].cause if summaries else None
     assert found == cause
-    assert len(rows) <= 1
+    assert len(summaries) <= 1
 
 
-def test_costliest_cause_is_first_and_starts_are_told_apart():
+def test_losses_are_sorted_by_tokens_and_count_process_starts():
     lines = [
         make_line('started', 90, request=None),
-        make_request(request='r1', at_s=95, tokens=10),
-        make_request(request='r2', at_s=200, tokens=900),
+        make_request(request='r1', timestamp_s=95, tokens=10),
+        make_request(request='r2', timestamp_s=200, tokens=900),
         make_line('request_refused', request='r3', code='no_config'),
     ]
-    rows = split_losses(gather_stories(lines))
-    assert [(row.count, row.after_start) for row in rows] == [(1, 0), (2, 1)]
-    assert rows[1].tokens == 910
+    summaries = split_losses(gather_stories(lines))
+    assert [(summary.count, summary.after_start) for summary in summaries] == [
+        (1, 0),
+        (2, 1),
+    ]
+    assert summaries[1].tokens == 910
 
 
-def test_predictions_are_compared_by_band_and_start():
+def test_predictions_are_grouped_by_length_band_and_process_start():
     lines = [
         make_line('started', 90, request=None),
-        make_request(request='r1', at_s=95),
+        make_request(request='r1', timestamp_s=95),
         make_line('attempt', request='r1', predicted_ms=100, age_ms=0),
         make_line('attempt_end', request='r1', first_ms=150),
-        make_request(request='r2', at_s=120, tokens=50_000),
+        make_request(request='r2', timestamp_s=120, tokens=50_000),
         make_line('attempt', request='r2', predicted_ms=100, age_ms=0),
         make_line('attempt_end', request='r2', first_ms=90),
     ]
