--- a/bench/ablations.py
+++ b/bench/ablations.py
@@ -149,7 +149,7 @@
 _leave_out(
     'breaker',
     f'{_CORE}/breaker.py',
-    'return not self._trial and now_ms >= self._retry_at_ms',
+    'return not self._has_trial and now_ms >= self._retry_at_ms',
     'return now_ms > 0',
 )
 _leave_out(
