--- a/crankchute/core/crash_news.py
+++ b/crankchute/core/crash_news.py
@@ -1,16 +1,16 @@
-"""What instances tell each other of servers that crashed under requests."""
+"""Records of server crashes that instances exchange."""
 
 
 class Crash:
-    """The end of a backend server that had requests in progress.
+    """The crash of a backend server that had requests in progress.
 
     Attributes:
       server: The server's id.
-      at_ms: When it was noticed first, on this process's clock.
+      at_ms: When it was first noticed, on this process's clock.
       requests: The fingerprints of the requests that were in progress there
         and were not answered since, a set.
-      begun_ms: A map from fingerprints of them to when that attempt was sent,
-        on the same clock; of others that is not known.
+      begun_ms: A map from fingerprint to when the attempt was sent, on the same
+        clock; requests whose send time is unknown are missing.
     """
 
     __slots__ = ('at_ms', 'begun_ms', 'requests', 'server')
@@ -22,7 +22,7 @@
           server: A string.
           at_ms: See the class.
           requests: An iterable of ints.
-          begun_ms: A map, or None where nothing is known; see the class.
+          begun_ms: A map, or None if no send time is known.
         """
         self.server = server
         self.at_ms = at_ms
@@ -31,24 +31,18 @@
 
 
 class HeldRequest:
-    """A request that is not sent to servers any more.
+    """A quarantined request: it is no longer sent to servers.
 
     Attributes:
       fingerprint: Its fingerprint, an int.
-      held_ms: When that was decided, on this process's clock.
-      asked_ms: When it last came, on the same clock.
+      held_ms: When it was quarantined, on this process's clock.
+      asked_ms: When it was last submitted, on the same clock.
     """
 
     __slots__ = ('asked_ms', 'fingerprint', 'held_ms')
 
     def __init__(self, fingerprint, held_ms, asked_ms):
-        """Create the record.
-
-        Args:
-          fingerprint: An int.
-          held_ms: See the class.
-          asked_ms: See the class.
-        """
+        """Create the record; see the class."""
         self.fingerprint = fingerprint
         self.held_ms = held_ms
         self.asked_ms = asked_ms
@@ -65,18 +59,13 @@
     __slots__ = ('at_ms', 'fingerprint')
 
     def __init__(self, fingerprint, at_ms):
-        """Create the record.
-
-        Args:
-          fingerprint: An int.
-          at_ms: See the class.
-        """
+        """Create the record; see the class."""
         self.fingerprint = fingerprint
         self.at_ms = at_ms
 
 
 class CrashNews:
-    """All that an instance remembers of crashes.
+    """The contents of a crash ledger, as sent to other instances.
 
     Attributes:
       crashes: A list of Crash.
@@ -87,13 +76,7 @@
     __slots__ = ('cleared', 'crashes', 'held')
 
     def __init__(self, crashes, held, cleared):
-        """Gather the records.
-
-        Args:
-          crashes: See the class.
-          held: See the class.
-          cleared: See the class.
-        """
+        """Create the record; see the class."""
         self.crashes = crashes
         self.held = held
         self.cleared = cleared
