--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -331,8 +331,8 @@
         'attempts after an end count for one with it',
         'crankchute/core/crash_blame_test.py',
         'crankchute/core/crash_blame.py',
-        'if not ends or begun_ms > last_ms:',
-        'if not ends:',
+        'if not count or begun_ms > last_ms:',
+        'if not count:',
     ),
 )
 
--- a/crankchute/core/crash_blame.py
+++ b/crankchute/core/crash_blame.py
@@ -1,93 +1,94 @@
-"""Which requests crash the servers that run them.
-
-The load that this answers: a request ends the process of each server that
-begins to run it, and its caller, or others with the same client account, send
-it again and again.  Each end breaks off all other requests in progress there,
-a handful, and those are sent again as well, often to the server that the first
-one ends next: of thirteen prompts that were broken off in 1.2 s, three met it
-twice.  Other servers end at the same time for reasons of their own: one by one,
-or many at the same moment.
-
-So the number of servers that ended under a request says little by itself.  A
-request is blamed for an end only if no other one that was there may be the
-cause, and a request that was answered since is no cause.
+"""Attribution of server crashes to the requests that caused them.
+
+A request that crashes every server it runs on is retried by its client, so it
+crashes one server after another.  Each crash also interrupts the unrelated
+requests in progress there, and their retries may meet the same request again.
+Servers also crash for other reasons, alone or many at once.
+
+The number of crashes that a request was present at is therefore not enough.
+A crash is attributed to a request only if no other request present at it is a
+plausible cause, and a request that was answered afterwards is ruled out.
 """
 
 from collections import Counter
 
 from crankchute.core.registry import Registry
 
-#: Ways to blame requests, by name: functions of Crashes that return the
-#: fingerprints of the requests that crash what runs them.
+#: Attribution functions by name.  Each takes crashes and returns the
+#: fingerprints of the requests that caused them.
 blames = Registry()
-#: The name of the one that decides; the others are there to compare.
+#: The name of the function in use; the others are baselines for comparison.
 BY_LEAD = 'lead'
-#: A request is held once it is blamed for the ends of so many servers.  Their
-#: users let three more servers be reached after the third end, so one memory
-#: of it may be lost (all instances lose power) without breaking that.
-CRASHES_TO_HOLD = 3
-#: Every other request that was there must have met so many ends fewer: one that
-#: rides along meets two of three, and one that meets another end besides would
-#: be taken for the cause of all three.
-_LEAD = 2
-#: Servers whose ends are noticed within this time of the first ended for one
-#: reason: a rack that loses power ends them within a millisecond, and a busy
-#: instance notices some milliseconds later.  Ends by one request were 38 to
-#: 1,000 ms apart (48 of them).  It counts from the first since a request that
-#: ends servers at once, as fast as they are asked, would count for one end
-#: however many it is (12 of 12 engines ended in a test); and attempts that were
-#: sent one after the other are ends of their own within it.
-_TOGETHER_MS = 20
+#: A request is no longer sent once this many crashes are attributed to it.
+#: Users accept three more crashes after the third, so one loss of the ledger
+#: (all instances lose power) stays within that.
+CRASHES_TO_QUARANTINE = 3
+#: Every other request present must have met at least this many crashes fewer.
+#: With a margin of one, a bystander that meets one unrelated crash as well
+#: would be blamed for all of them.
+_MIN_MARGIN = 2
+#: Crashes noticed within this time of the first one count as simultaneous: a
+#: rack that loses power stops its servers within a millisecond, and a busy
+#: instance notices some milliseconds later.  The window is not extended by
+#: later crashes, because a request that crashes servers as fast as it is sent
+#: would then count for a single crash.
+_SIMULTANEOUS_MS = 20
 
 
 @blames.register(BY_LEAD)
 def find_culprits(crashes):
-    """Return the requests that must have caused the ends of servers.
+    """Return the requests to which enough crashes are attributed.
 
     Args:
       crashes: An iterable of Crash.
     Returns:
       A set of fingerprints.
     """
-    suspects = [_count_common(group) for group in _group_by_time(crashes)]
-    met = Counter()
-    for ends in suspects:
-        met.update(ends)
-    blamed = Counter()
-    for ends in suspects:
-        culprit = _find_culprit(ends, met)
+    groups = [_count_common(group) for group in _group_by_time(crashes)]
+    totals = Counter()
+    for counts in groups:
+        totals.update(counts)
+    attributed = Counter()
+    for counts in groups:
+        culprit = _find_culprit(counts, totals)
         if culprit is not None:
-            blamed[culprit] += ends[culprit]
-    return {one for one, count in blamed.items() if count >= CRASHES_TO_HOLD}
+            attributed[culprit] += counts[culprit]
+    return {
+        one
+        for one, count in attributed.items()
+        if count >= CRASHES_TO_QUARANTINE
+    }
 
 
 @blames.register('presence')
 def find_present(crashes):
-    """Return the requests that were there often enough; a baseline.
+    """Return the requests present at enough crashes; a baseline.
 
     Args:
       crashes: An iterable of Crash.
     Returns:
       A set of fingerprints.
     """
-    met = Counter()
+    totals = Counter()
     for crash in crashes:
-        met.update(crash.requests)
-    return {one for one, count in met.items() if count >= CRASHES_TO_HOLD}
+        totals.update(crash.requests)
+    return {
+        one for one, count in totals.items() if count >= CRASHES_TO_QUARANTINE
+    }
 
 
 @blames.register('nobody')
-def find_nobody(_crashes):
-    """Return no request, as if nothing were remembered; a baseline."""
+def find_none(_crashes):
+    """Return the empty set; a baseline without attribution."""
     return set()
 
 
 def _group_by_time(crashes):
-    """Return lists of the crashes that came together, in order."""
+    """Return lists of simultaneous crashes, in order of time."""
     groups = []
     first_ms = float('-inf')
-    for crash in sorted(crashes, key=_time_of):
-        if crash.at_ms - first_ms > _TOGETHER_MS:
+    for crash in sorted(crashes, key=_get_time):
+        if crash.at_ms - first_ms > _SIMULTANEOUS_MS:
             first_ms = crash.at_ms
             groups.append([])
         groups[-1].append(crash)
@@ -95,43 +96,42 @@
 
 
 def _count_common(group):
-    """Return how many ends a group is for those who were at each of them.
+    """Count the crashes of a group for each request present at all of them.
 
     Args:
-      group: Crashes in the order of their times.
+      group: Simultaneous crashes in order of time.
     Returns:
       A Counter of fingerprints.
     """
     common = set.intersection(*(crash.requests for crash in group))
-    return Counter({one: _count_ends(one, group) for one in common})
+    return Counter({one: _count_crashes(one, group) for one in common})
 
 
-def _count_ends(fingerprint, group):
-    """Return how many ends in a row a request met.
+def _count_crashes(fingerprint, group):
+    """Count the separate crashes that a request met within a group.
 
-    An attempt that was sent after an end is no part of it, however soon it
-    ended its own server; without that, a request that ends servers within 20 ms
-    ended 7 or 8 of 12 after all knew of the third, and not at most three.
+    An attempt sent after a crash cannot belong to it, so the crash of its own
+    server counts separately, however soon it follows.
     """
-    ends = 0
+    count = 0
     last_ms = float('-inf')
     for crash in group:
         begun_ms = crash.begun_ms.get(fingerprint, float('-inf'))
-        if not ends or begun_ms > last_ms:
-            ends += 1
+        if not count or begun_ms > last_ms:
+            count += 1
             last_ms = crash.at_ms
-    return ends
+    return count
 
 
-def _find_culprit(requests, met):
-    """Return the only request that may have caused an end, or None."""
-    ranked = sorted(requests, key=met.__getitem__, reverse=True)
+def _find_culprit(requests, totals):
+    """Return the only plausible cause of a group of crashes, or None."""
+    ranked = sorted(requests, key=totals.__getitem__, reverse=True)
     if not ranked:
         return None
     first, *others = ranked
-    most_met = met[first] - _LEAD
-    return first if all(met[one] <= most_met for one in others) else None
+    limit = totals[first] - _MIN_MARGIN
+    return first if all(totals[one] <= limit for one in others) else None
 
 
-def _time_of(crash):
+def _get_time(crash):
     return crash.at_ms
--- a/crankchute/core/crash_blame_test.py
+++ b/crankchute/core/crash_blame_test.py
@@ -1,4 +1,4 @@
-"""Tests of which requests are blamed for the ends of servers."""
+"""Tests of the attribution of server crashes to requests."""
 
 import pytest
 
@@ -8,11 +8,11 @@
 CULPRIT = 1
 OTHER = 2
 THIRD = 3
-RIDERS = (11, 12, 13, 14)
+BYSTANDERS = (11, 12, 13, 14)
 
 
 def make_crashes(*rows):
-    """Return Crashes of pairs of a time and what was in progress."""
+    """Return Crashes from pairs of a time and the requests in progress."""
     return [
         Crash(f's{number}', at_ms, requests)
         for number, (at_ms, requests) in enumerate(rows)
@@ -22,19 +22,19 @@
 @pytest.mark.parametrize(
     ('rows', 'culprits'),
     [
-        # Alone, and as often as it takes.
+        # Alone: the threshold is three crashes.
         ([(0, {CULPRIT}), (100, {CULPRIT})], set()),
         ([(0, {CULPRIT}), (100, {CULPRIT}), (200, {CULPRIT})], {CULPRIT}),
-        # With others that were there once.
+        # Each bystander is present at one crash only.
         (
             [
-                (0, {CULPRIT, *RIDERS[:2]}),
-                (100, {CULPRIT, RIDERS[2]}),
-                (200, {CULPRIT, RIDERS[3]}),
+                (0, {CULPRIT, *BYSTANDERS[:2]}),
+                (100, {CULPRIT, BYSTANDERS[2]}),
+                (200, {CULPRIT, BYSTANDERS[3]}),
             ],
             {CULPRIT},
         ),
-        # One that rode along twice may be the cause of those two.
+        # A request present at two of three crashes may have caused those two.
         (
             [
                 (0, {CULPRIT, OTHER}),
@@ -52,9 +52,9 @@
             ],
             {CULPRIT},
         ),
-        # Two that were always together cannot be told apart.
+        # Two requests that are always together cannot be told apart.
         ([(at, {CULPRIT, OTHER}) for at in (0, 100, 200, 300)], set()),
-        # One that rode along twice and met another end besides.
+        # A bystander of two crashes that also meets an unrelated one.
         (
             [
                 (0, {CULPRIT, OTHER}),
@@ -63,7 +63,7 @@
             ],
             set(),
         ),
-        # Many servers lose power at the same moment, again and again.
+        # Several power failures, each of many servers.
         (
             [
                 (start + number, {OTHER if number == 1 else 20 + number})
@@ -72,16 +72,16 @@
             ],
             set(),
         ),
-        # Copies of one request end several servers at the same moment: one sign.
+        # Simultaneous crashes under copies of one request count once.
         (
             [(start, {CULPRIT}) for start in (0, 1, 2, 5000, 5001, 9000)],
             {CULPRIT},
         ),
         ([(start, {CULPRIT}) for start in (0, 1, 2, 3, 4, 5)], set()),
-        # Ends that follow each other without a pause are not one end.
+        # A long series of crashes in quick succession is more than one crash.
         ([(number * 10, {CULPRIT}) for number in range(12)], {CULPRIT}),
         ([(number * 7, {CULPRIT}) for number in range(12)], {CULPRIT}),
-        # Two culprits at the same time.
+        # Two culprits whose crashes alternate.
         (
             [
                 (number * 100, {CULPRIT} if number % 2 else {THIRD})
@@ -97,7 +97,7 @@
 
 
 def make_attempts(*rows):
-    """Return Crashes of a time and of when each request there was sent."""
+    """Return Crashes from pairs of a time and a map from request to send time."""
     return [
         Crash(f's{number}', at_ms, begun_ms, begun_ms)
         for number, (at_ms, begun_ms) in enumerate(rows)
@@ -107,15 +107,15 @@
 @pytest.mark.parametrize(
     ('rows', 'culprits'),
     [
-        # Each attempt was sent after the end before it, however soon.
+        # Each attempt was sent after the previous crash.
         (
             [(0, {CULPRIT: -5}), (4, {CULPRIT: 1}), (9, {CULPRIT: 5})],
             {CULPRIT},
         ),
         ([(0, {CULPRIT: -5}), (4, {CULPRIT: 1})], set()),
-        # Sent at the moment of an end, it may have been sent before it.
+        # An attempt sent at the very time of a crash may precede it.
         ([(at, {CULPRIT: at}) for at in (0, 0, 0, 0)], set()),
-        # Attempts that were under way together end together.
+        # Concurrent attempts count as one crash.
         (
             [(0, {CULPRIT: -5}), (4, {CULPRIT: -4}), (9, {CULPRIT: -3})],
             set(),
@@ -130,7 +130,7 @@
             ],
             {CULPRIT},
         ),
-        # One that was under way at two of them rides along.
+        # A bystander whose attempts were all concurrent counts once.
         (
             [
                 (0, {CULPRIT: -5, OTHER: -9}),
@@ -147,8 +147,8 @@
             ],
             set(),
         ),
-        # A rack loses power, and what ended at its first server was sent on
-        # to the next one meanwhile.
+        # A rack loses power; a request interrupted at one of its servers was
+        # already retried at another.
         (
             [
                 (0, {CULPRIT: -5}),
@@ -160,11 +160,10 @@
         ),
     ],
 )
-def test_attempt_that_began_after_an_end_is_another_end(rows, culprits):
-    """On a fast machine a request ends its server within some milliseconds.
+def test_attempt_sent_after_a_crash_counts_separately(rows, culprits):
+    """Guards against merging crashes by retries that take a few milliseconds.
 
-    Its ends all counted for one with the first: 7 or 8 engines of 12 ended
-    after all instances knew of the third, where three more are allowed.
+    Otherwise the request crashes more servers before it is quarantined.
     """
     assert find_culprits(make_attempts(*rows)) == culprits
     assert find_culprits(make_attempts(*reversed(rows))) == culprits
--- a/crankchute/core/crash_ledger.py
+++ b/crankchute/core/crash_ledger.py
@@ -1,16 +1,14 @@
-"""What an instance remembers of requests under which servers crashed.
-
-The load that this answers: see crash_blame.  A request that crashes servers
-comes again at any instance, also at one that has just started, so every
-instance remembers what all of them saw.  What is remembered is bounded: by
-number, so that a request that changes with each submission cannot fill the
-memory, and by age since it last came.
-
-Instances tell each other all of it where a digest shows that they differ.  The
-records of two instances are joined without regard to order: the earliest notice
-of an end, the union of what was in progress there, the latest answer.  Times
-are told as ages, and seem later by the way of the message; a time that another
-instance tells counts as a later one only if it is much later.
+"""An instance's record of server crashes and of the requests behind them.
+
+A request that crashes servers may be retried at any instance, also at one that
+has just started, so instances replicate their ledgers to each other.  A ledger
+is bounded in size, so that a request that changes with each submission cannot
+fill it, and entries expire some time after their request was last submitted.
+
+Instances exchange whole ledgers when their digests differ.  Merging is
+independent of order: the earliest notice of a crash, the union of the requests
+in progress, the latest answer.  Times are sent as ages, so they shift by the
+delay of the message; a received time counts as later only by a clear margin.
 """
 
 import operator
@@ -26,63 +24,63 @@
     HeldRequest,
 )
 
-#: How long after a request last came it is remembered, in milliseconds.  One
-#: that is held is tried again after that, and three servers may end.
-REMEMBER_MS = 600_000
-#: How long it is remembered that a request was answered: until everybody heard.
-_CLEARED_MS = 60_000
-_MOST_CRASHES = 64
-#: As many requests as a server has slots and places in its queue, about.
-_MOST_REQUESTS = 32
-_MOST_HELD = 256
-_MOST_CLEARED = 512
-#: A server that crashes this much later has started again under its id, in
-#: milliseconds; some notice an end only when it has been silent for 2.5 s.
-_SAME_END_MS = 3000
-#: By so much a time must be later to be another one, in milliseconds.
-_LATER_MS = 500
+#: How long crashes, and quarantined requests that are not submitted, are kept.
+#: A quarantined request that expires may crash three more servers.
+RETENTION_MS = 600_000
+#: How long an answer is kept: until all instances have received it.
+_CLEARED_RETENTION_MS = 60_000
+_MAX_CRASHES = 64
+#: About the slots and queue places of one server.
+_MAX_REQUESTS_PER_CRASH = 32
+_MAX_QUARANTINED = 256
+_MAX_CLEARED = 512
+#: Reports of one server within this time are of the same crash: some instances
+#: notice it only when the server has been silent for 2.5 s.
+_SAME_CRASH_MS = 3000
+#: A time counts as later than another one only by more than this.
+_TIME_MARGIN_MS = 500
 
 
 class CrashLedger:
-    """Crashes, the requests that are held, and those that were cleared."""
+    """Recent crashes, quarantined requests, and requests that were cleared."""
 
-    def __init__(self, now_ms, on_held=None, blame=find_culprits):
+    def __init__(self, now_ms, on_quarantined=None, blame=find_culprits):
         """Create an empty ledger.
 
         Args:
           now_ms: A function that returns the time.
-          on_held: A function of the fingerprint of a request that is held from
-            now on, and of the ids of the servers that crashed; or None.
+          on_quarantined: A function called when a request is quarantined, with
+            its fingerprint and the ids of the servers that crashed; or None.
           blame: One of the functions of crash_blame.blames.
         """
         self._now_ms = now_ms
-        self._on_held = on_held
-        self._blame = blame
+        self._on_quarantined = on_quarantined
+        self._find_culprits = blame
         self._subscribers = []
         self._crashes = []
-        self._held = {}
+        self._quarantined = {}
         self._cleared = {}
-        self._met = Counter()
+        self._crash_counts = Counter()
         self._digest = None
 
     @property
     def digest(self):
-        """A number that tells ledgers apart, 0 for an empty one."""
+        """A hash of the contents, 0 for an empty ledger."""
         if self._digest is None:
             self._digest = self._compute_digest()
         return self._digest
 
     @property
     def held(self):
-        """The HeldRequests, a list."""
-        return list(self._held.values())
+        """A list of the quarantined requests, HeldRequests."""
+        return list(self._quarantined.values())
 
     def __len__(self):
-        """Return how many crashes are remembered."""
+        """Return the number of crashes on record."""
         return len(self._crashes)
 
     def subscribe(self, callback):
-        """Be told when this instance learns something that others may lack.
+        """Call a function when this instance learns what others may lack.
 
         Args:
           callback: A function without arguments.
@@ -90,51 +88,56 @@
         self._subscribers.append(callback)
 
     def count_crashes(self, fingerprint):
-        """Return how many servers crashed under a request, an int.
+        """Return how many servers crashed while running a request.
 
         Args:
           fingerprint: The request's fingerprint.
         """
-        return self._met[fingerprint]
+        return self._crash_counts[fingerprint]
 
     def is_held(self, fingerprint):
-        """Tell whether a request that came must not be sent.
+        """Return whether a submitted request is quarantined.
+
+        This extends the quarantine, since the request is still submitted.
 
         Args:
           fingerprint: The request's fingerprint.
         """
-        found = self._held.get(fingerprint)
+        found = self._quarantined.get(fingerprint)
         if found is None:
             return False
         found.asked_ms = self._now_ms()
         return True
 
     def note_crash(self, server, at_ms, requests, begun_ms=None):
-        """Note that a server crashed.
+        """Record a server crash that this instance noticed.
 
         Args:
-          server: Its id.
-          at_ms: When that was noticed.
+          server: The server's id.
+          at_ms: When it was noticed.
           requests: The fingerprints of the requests in progress there.
           begun_ms: See Crash.
         """
-        if self._join(Crash(server, at_ms, requests, begun_ms)):
-            self._settle()
-            self._tell_subscribers()
+        if self._merge_crash(Crash(server, at_ms, requests, begun_ms)):
+            self._update_quarantine()
+            self._notify_subscribers()
 
     def note_answered(self, fingerprint):
-        """Note that a request was answered, and so does not crash servers.
+        """Clear a request: it was answered, so it does not crash servers.
 
         Args:
           fingerprint: The request's fingerprint.
         """
-        if fingerprint in self._met or fingerprint in self._held:
+        if (
+            fingerprint in self._crash_counts
+            or fingerprint in self._quarantined
+        ):
             self._clear(ClearedRequest(fingerprint, self._now_ms()))
-            self._settle()
-            self._tell_subscribers()
+            self._update_quarantine()
+            self._notify_subscribers()
 
     def tell(self):
-        """Return all that is remembered, CrashNews."""
+        """Return the whole contents as CrashNews."""
         return CrashNews(
             list(self._crashes),
             self.held,
@@ -142,7 +145,7 @@
         )
 
     def take(self, news):
-        """Take what another instance remembers.
+        """Merge the ledger of another instance.
 
         Args:
           news: CrashNews.
@@ -152,150 +155,157 @@
             if own is None or _is_later(cleared.at_ms, own.at_ms):
                 self._clear(cleared)
         for crash in news.crashes:
-            self._join(crash)
+            self._merge_crash(crash)
         for held in news.held:
-            self._take_held(held)
-        self._settle()
+            self._merge_quarantined(held)
+        self._update_quarantine()
 
-    def forget_old(self):
-        """Forget what is old, and the oldest where there is too much."""
+    def discard_expired(self):
+        """Discard expired records, and the oldest ones beyond the bounds."""
         now_ms = self._now_ms()
-        self._crashes = _keep(
+        self._crashes = _keep_latest(
             self._crashes,
             operator.attrgetter('at_ms'),
-            now_ms - REMEMBER_MS,
-            _MOST_CRASHES,
+            now_ms - RETENTION_MS,
+            _MAX_CRASHES,
         )
-        held = _keep(
-            self._held.values(),
+        quarantined = _keep_latest(
+            self._quarantined.values(),
             operator.attrgetter('asked_ms'),
-            now_ms - REMEMBER_MS,
-            _MOST_HELD,
+            now_ms - RETENTION_MS,
+            _MAX_QUARANTINED,
         )
-        cleared = _keep(
+        cleared = _keep_latest(
             self._cleared.values(),
             operator.attrgetter('at_ms'),
-            now_ms - _CLEARED_MS,
-            _MOST_CLEARED,
+            now_ms - _CLEARED_RETENTION_MS,
+            _MAX_CLEARED,
         )
-        self._held = {one.fingerprint: one for one in held}
+        self._quarantined = {one.fingerprint: one for one in quarantined}
         self._cleared = {one.fingerprint: one for one in cleared}
         self._recount()
 
-    def _join(self, crash):
-        """Join a crash with what is known of it; tell whether that is more."""
-        known = self._find(crash) or Crash(crash.server, crash.at_ms, ())
+    def _merge_crash(self, crash):
+        """Merge a crash; return whether it adds any request."""
+        known = self._find_known(crash) or Crash(crash.server, crash.at_ms, ())
         before = known.requests
         known.at_ms = min(known.at_ms, crash.at_ms)
-        known.requests = self._choose_requests(
+        known.requests = self._limit_requests(
             {
                 one
                 for one in before | crash.requests
-                if self._counts(one, known)
+                if self._is_uncleared(one, known)
             },
         )
-        known.begun_ms = _join_begun(known, crash)
+        known.begun_ms = _merge_begun(known, crash)
         if known.requests == before:
             return False
         if not before:
             self._crashes.append(known)
         return True
 
-    def _find(self, crash):
-        """Return what is known of the same end, or None."""
+    def _find_known(self, crash):
+        """Return the record of the same crash, or None."""
         for known in self._crashes:
-            apart_ms = abs(known.at_ms - crash.at_ms)
-            if known.server == crash.server and apart_ms <= _SAME_END_MS:
+            difference_ms = abs(known.at_ms - crash.at_ms)
+            if known.server == crash.server and difference_ms <= _SAME_CRASH_MS:
                 return known
         return None
 
-    def _counts(self, fingerprint, crash):
-        """Tell whether a request was not answered since a crash."""
+    def _is_uncleared(self, fingerprint, crash):
+        """Return whether a request was not answered since a crash."""
         cleared = self._cleared.get(fingerprint)
         return cleared is None or _is_later(crash.at_ms, cleared.at_ms)
 
-    def _choose_requests(self, requests):
-        """Return no more than the bound, those of the most crashes first."""
-        if len(requests) <= _MOST_REQUESTS:
+    def _limit_requests(self, requests):
+        """Return at most the bound, preferring those with most crashes."""
+        if len(requests) <= _MAX_REQUESTS_PER_CRASH:
             return requests
-        ranked = sorted(requests, key=lambda one: (-self._met[one], one))
-        return set(ranked[:_MOST_REQUESTS])
+        ranked = sorted(
+            requests, key=lambda one: (-self._crash_counts[one], one)
+        )
+        return set(ranked[:_MAX_REQUESTS_PER_CRASH])
 
     def _clear(self, cleared):
-        """Forget what spoke against a request before it was answered."""
+        """Remove a request from crashes and quarantine before its answer."""
         fingerprint = cleared.fingerprint
         self._cleared[fingerprint] = cleared
-        held = self._held.get(fingerprint)
+        held = self._quarantined.get(fingerprint)
         if held is not None and not _is_later(held.held_ms, cleared.at_ms):
-            self._held.pop(fingerprint)
+            self._quarantined.pop(fingerprint)
         for crash in self._crashes:
             if not _is_later(crash.at_ms, cleared.at_ms):
                 crash.requests.discard(fingerprint)
         self._crashes = [one for one in self._crashes if one.requests]
 
-    def _take_held(self, told):
-        cleared = self._cleared.get(told.fingerprint)
-        if cleared is not None and not _is_later(told.held_ms, cleared.at_ms):
+    def _merge_quarantined(self, received):
+        cleared = self._cleared.get(received.fingerprint)
+        if cleared is not None and not _is_later(
+            received.held_ms, cleared.at_ms
+        ):
             return
-        own = self._held.get(told.fingerprint)
+        own = self._quarantined.get(received.fingerprint)
         if own is None:
-            self._hold(told)
-        elif _is_later(told.asked_ms, own.asked_ms):
-            own.asked_ms = told.asked_ms
+            self._quarantine(received)
+        elif _is_later(received.asked_ms, own.asked_ms):
+            own.asked_ms = received.asked_ms
 
-    def _settle(self):
-        """Keep the bounds after a change, and hold who is to blame by now.
+    def _update_quarantine(self):
+        """Apply the bounds, then quarantine the requests found as culprits.
 
-        Once for all that another instance tells: to take a full ledger of 832
-        records, 64 of them crashes of 32 requests, takes 2.7 ms, and 19.6 if
-        the bounds are kept after each (best of five).
+        Called once per change, not per record: merging a full ledger would take
+        several times as long otherwise.
         """
-        self.forget_old()
+        self.discard_expired()
         now_ms = self._now_ms()
-        for fingerprint in self._blame(self._crashes):
-            if fingerprint not in self._held:
-                self._hold(HeldRequest(fingerprint, now_ms, now_ms))
+        for fingerprint in self._find_culprits(self._crashes):
+            if fingerprint not in self._quarantined:
+                self._quarantine(HeldRequest(fingerprint, now_ms, now_ms))
 
-    def _hold(self, held):
-        self._held[held.fingerprint] = held
+    def _quarantine(self, held):
+        self._quarantined[held.fingerprint] = held
         self._digest = None
-        if len(self._held) > _MOST_HELD:
-            self.forget_old()
-        if self._on_held is not None:
+        if len(self._quarantined) > _MAX_QUARANTINED:
+            self.discard_expired()
+        if self._on_quarantined is not None:
             servers = [
                 crash.server
                 for crash in self._crashes
                 if held.fingerprint in crash.requests
             ]
-            self._on_held(held.fingerprint, servers)
+            self._on_quarantined(held.fingerprint, servers)
 
     def _recount(self):
-        """Count anew what is known after a change."""
+        """Recompute the crashes per request, and drop the cached digest."""
         self._digest = None
-        self._met = Counter()
+        self._crash_counts = Counter()
         for crash in self._crashes:
-            self._met.update(crash.requests)
+            self._crash_counts.update(crash.requests)
 
     def _compute_digest(self):
-        if not (self._crashes or self._held or self._cleared):
+        if not (self._crashes or self._quarantined or self._cleared):
             return 0
         crashes = sorted(
             (crash.server, sorted(crash.requests)) for crash in self._crashes
         )
-        told = (crashes, sorted(self._held), sorted(self._cleared))
-        return xxhash.xxh64_intdigest(repr(told).encode())
+        hashed = (
+            crashes,
+            sorted(self._quarantined),
+            sorted(self._cleared),
+        )
+        return xxhash.xxh64_intdigest(repr(hashed).encode())
 
-    def _tell_subscribers(self):
+    def _notify_subscribers(self):
         for callback in self._subscribers:
             callback()
 
 
-def _join_begun(known, crash):
-    """Return when requests were sent to a server that crashed, the first time.
+def _merge_begun(known, crash):
+    """Return when each request was first sent to a server that crashed.
 
     Args:
       known: A Crash with all its requests.
-      crash: Another Crash of the same end.
+      crash: Another record of the same crash.
     Returns:
       A map; see Crash.
     """
@@ -310,20 +320,20 @@
     }
 
 
-def _is_later(told_ms, known_ms):
-    return told_ms > known_ms + _LATER_MS
+def _is_later(received_ms, known_ms):
+    return received_ms > known_ms + _TIME_MARGIN_MS
 
 
-def _keep(records, time_of, oldest_ms, most):
-    """Return the records that are not too old, the latest if too many.
+def _keep_latest(records, get_time, oldest_ms, limit):
+    """Return the records that have not expired, at most the latest few.
 
     Args:
       records: An iterable of records.
-      time_of: A function of a record that returns when it last mattered.
-      oldest_ms: Records from before are left out.
-      most: How many are kept.
+      get_time: A function that returns the time of a record.
+      oldest_ms: Records from before this time are dropped.
+      limit: The largest number of records to keep.
     Returns:
       A list.
     """
-    young = [one for one in records if time_of(one) >= oldest_ms]
-    return sorted(young, key=time_of)[-most:]
+    recent = [one for one in records if get_time(one) >= oldest_ms]
+    return sorted(recent, key=get_time)[-limit:]
--- a/crankchute/core/crash_ledger_test.py
+++ b/crankchute/core/crash_ledger_test.py
@@ -1,4 +1,4 @@
-"""Tests of what an instance remembers of crashes, and how two agree."""
+"""Tests of the crash ledger and of its replication between instances."""
 
 import copy
 from functools import partial
@@ -8,23 +8,23 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from crankchute.core.crash_ledger import REMEMBER_MS, CrashLedger
+from crankchute.core.crash_ledger import RETENTION_MS, CrashLedger
 from crankchute.core.fakes import ManualClock
 
 CULPRIT = 1
 OTHER = 2
-#: How long a message is on its way, in milliseconds.
-_WAY_MS = 5
+#: The delay of a message between instances, in milliseconds.
+_DELAY_MS = 5
 
 
 class World:
-    """A few ledgers that tell each other what they remember."""
+    """Ledgers of several instances on one clock."""
 
     def __init__(self, count=1):
         self.clock = ManualClock()
-        self.held = []
+        self.quarantined = []
         self.ledgers = [
-            CrashLedger(self.clock.now_ms, self._note_held)
+            CrashLedger(self.clock.now_ms, self._note_quarantined)
             for _ in range(count)
         ]
 
@@ -32,29 +32,29 @@
         self.clock.time_ms += pause_ms
         self.ledgers[at].note_crash(server, self.clock.time_ms, requests)
 
-    def tell(self, teller, hearer):
-        news = copy.deepcopy(self.ledgers[teller].tell())
+    def send(self, sender, receiver):
+        news = copy.deepcopy(self.ledgers[sender].tell())
         for one in (*news.crashes, *news.cleared):
-            one.at_ms += _WAY_MS
+            one.at_ms += _DELAY_MS
         for one in news.held:
-            one.held_ms += _WAY_MS
-            one.asked_ms += _WAY_MS
-        self.ledgers[hearer].take(news)
+            one.held_ms += _DELAY_MS
+            one.asked_ms += _DELAY_MS
+        self.ledgers[receiver].take(news)
 
-    def tell_all(self):
+    def send_all(self):
         pairs = list(permutations(range(len(self.ledgers)), 2))
-        for teller, hearer in pairs * 2:
-            self.tell(teller, hearer)
+        for sender, receiver in pairs * 2:
+            self.send(sender, receiver)
 
-    def hold(self, at=0):
+    def quarantine(self, at=0):
         for number in range(3):
             self.crash(f's{number}', CULPRIT, 10 + number, at=at)
 
-    def _note_held(self, fingerprint, servers):
-        self.held.append((fingerprint, len(servers)))
+    def _note_quarantined(self, fingerprint, servers):
+        self.quarantined.append((fingerprint, len(servers)))
 
 
-def test_request_is_held_after_three_crashes():
+def test_request_is_quarantined_after_three_crashes():
     world = World()
     ledger = world.ledgers[0]
     for number in range(3):
@@ -63,12 +63,12 @@
         world.crash(f's{number}', CULPRIT, 10 + number)
     assert ledger.is_held(CULPRIT)
     assert not any(ledger.is_held(10 + number) for number in range(3))
-    assert world.held == [(CULPRIT, 3)]
+    assert world.quarantined == [(CULPRIT, 3)]
 
 
-def test_first_attempt_at_a_server_is_the_one_that_counts():
-    """Two instances may have the same request there; either may have ended it."""
-    told = []
+def test_merge_keeps_the_earliest_send_time():
+    """Two instances may have sent copies; either may have crashed the server."""
+    merged = []
     for order in ((0, 1), (1, 0)):
         world = World(2)
         world.clock.time_ms = 100
@@ -76,18 +76,18 @@
             ledger = world.ledgers[number]
             ledger.note_crash('s1', 100, [CULPRIT], {CULPRIT: begun_ms})
         world.ledgers[order[0]].take(world.ledgers[order[1]].tell())
-        told.append(world.ledgers[order[0]].tell().crashes[0].begun_ms)
-    assert told == [{CULPRIT: 20}, {CULPRIT: 20}]
+        merged.append(world.ledgers[order[0]].tell().crashes[0].begun_ms)
+    assert merged == [{CULPRIT: 20}, {CULPRIT: 20}]
 
 
-def test_one_crash_that_is_noticed_again_counts_once():
+def test_repeated_notices_of_one_crash_count_once():
     world = World()
     for _ in range(5):
         world.crash('s1', CULPRIT)
     assert world.ledgers[0].count_crashes(CULPRIT) == 1
 
 
-def test_server_that_started_again_under_its_id_may_crash_again():
+def test_crashes_of_a_restarted_server_count_separately():
     world = World()
     for _ in range(3):
         world.crash('s1', CULPRIT, pause_ms=4000)
@@ -111,25 +111,27 @@
 
 
 @pytest.mark.parametrize(
-    ('asked_each_ms', 'is_held'),
-    [(REMEMBER_MS / 2, True), (REMEMBER_MS + 1, False)],
+    ('interval_ms', 'is_quarantined'),
+    [(RETENTION_MS / 2, True), (RETENTION_MS + 1, False)],
 )
-def test_request_is_remembered_while_it_comes(asked_each_ms, is_held):
+def test_quarantine_lasts_while_the_request_is_submitted(
+    interval_ms, is_quarantined
+):
     world = World()
-    world.hold()
+    world.quarantine()
     ledger = world.ledgers[0]
     for _ in range(4):
-        world.clock.time_ms += asked_each_ms
-        ledger.forget_old()
-        assert ledger.is_held(CULPRIT) == is_held
+        world.clock.time_ms += interval_ms
+        ledger.discard_expired()
+        assert ledger.is_held(CULPRIT) == is_quarantined
     assert len(ledger) == 0
 
 
-def test_memory_is_bounded_and_keeps_who_is_held():
-    """A request that changes each time fills the memory with what is recent."""
+def test_ledger_is_bounded_and_keeps_quarantined_requests():
+    """Guards against eviction by a request that changes each time."""
     world = World()
     ledger = world.ledgers[0]
-    world.hold()
+    world.quarantine()
     for number in range(1000):
         requests = range(100 * number, 100 * number + 99)
         world.crash(f'more-{number}', *requests)
@@ -139,7 +141,7 @@
     assert ledger.is_held(CULPRIT)
 
 
-def test_number_of_held_and_cleared_requests_is_bounded():
+def test_number_of_quarantined_and_cleared_requests_is_bounded():
     world = World()
     ledger = world.ledgers[0]
     for request in range(1000):
@@ -153,8 +155,8 @@
     assert ledger.is_held(998)
 
 
-def test_those_that_met_most_are_kept_of_many():
-    """Of more requests than are kept the one that ends servers stays."""
+def test_bound_per_crash_keeps_requests_with_most_crashes():
+    """Guards against eviction of the culprit from a crash of many requests."""
     world = World()
     ledger = world.ledgers[0]
     for number in range(4):
@@ -165,63 +167,63 @@
 
 
 @pytest.mark.parametrize('at', [(0, 1, 2), (0, 0, 1), (2, 1, 1)])
-def test_instances_join_what_each_of_them_saw(at):
+def test_crashes_noticed_by_several_instances_are_merged(at):
     world = World(count=3)
     for number, instance in enumerate(at):
         world.crash(f's{number}', CULPRIT, at=instance)
         world.crash(f's{number}', 10 + number, at=(instance + 1) % 3)
-    world.tell_all()
+    world.send_all()
     assert all(one.is_held(CULPRIT) for one in world.ledgers)
     assert len({one.digest for one in world.ledgers}) == 1
 
 
-def test_instance_that_starts_is_told_who_is_held():
+def test_new_instance_receives_quarantined_requests():
     world = World(count=2)
-    world.hold()
-    world.clock.time_ms += REMEMBER_MS / 2
+    world.quarantine()
+    world.clock.time_ms += RETENTION_MS / 2
     world.ledgers[0].is_held(CULPRIT)
-    world.clock.time_ms += REMEMBER_MS / 2 + 1000
-    world.ledgers[0].forget_old()
-    world.tell(0, 1)
+    world.clock.time_ms += RETENTION_MS / 2 + 1000
+    world.ledgers[0].discard_expired()
+    world.send(0, 1)
     assert world.ledgers[1].is_held(CULPRIT)
     assert len(world.ledgers[1]) == 0
 
 
 def test_answer_clears_a_request_at_all_instances():
-    """Also where the news of its crashes come after those of its answer."""
+    """Also at one that receives the crashes after the answer."""
     world = World(count=3)
-    world.hold(at=0)
-    world.tell(0, 1)
+    world.quarantine(at=0)
+    world.send(0, 1)
     world.clock.time_ms += 10
     world.ledgers[1].note_answered(CULPRIT)
-    world.tell(1, 2)
-    world.tell(0, 2)
-    world.tell_all()
+    world.send(1, 2)
+    world.send(0, 2)
+    world.send_all()
     assert not any(one.is_held(CULPRIT) for one in world.ledgers)
     assert len({one.digest for one in world.ledgers}) == 1
 
 
-def test_subscribers_hear_only_of_what_is_new_here():
+def test_subscribers_are_notified_only_of_local_changes():
     world = World(count=2)
-    heard = []
+    notified = []
     for number, ledger in enumerate(world.ledgers):
-        ledger.subscribe(partial(heard.append, number))
+        ledger.subscribe(partial(notified.append, number))
     world.crash('s1', CULPRIT)
     world.crash('s1', CULPRIT)
-    world.tell(0, 1)
+    world.send(0, 1)
     world.ledgers[0].note_answered(OTHER)
-    assert heard == [0]
+    assert notified == [0]
     world.ledgers[1].note_answered(CULPRIT)
-    assert heard == [0, 1]
+    assert notified == [0, 1]
 
 
 _EVENTS = st.lists(
     st.tuples(
-        st.sampled_from(['crash', 'answer', 'tell']),
+        st.sampled_from(['crash', 'answer', 'send']),
         st.integers(0, 2),
         st.integers(0, 2),
         st.integers(0, 6),
-        # Neither is near the bound by which times are told apart.
+        # Neither is near the margin used to compare times.
         st.sampled_from([1, 1000]),
     ),
     max_size=40,
@@ -229,8 +231,8 @@
 
 
 @given(_EVENTS)
-def test_instances_agree_once_all_is_told(events):
-    """Whatever was seen, and told, in whatever order."""
+def test_ledgers_converge_once_all_are_exchanged(events):
+    """Whatever was noticed and sent, in any order."""
     world = World(count=3)
     for kind, first, second, server, pause_ms in events:
         world.clock.time_ms += pause_ms
@@ -240,9 +242,9 @@
         elif kind == 'answer':
             world.ledgers[first].note_answered(10 + second)
         elif first != second:
-            world.tell(first, second)
+            world.send(first, second)
     world.clock.time_ms += 1000
-    world.tell_all()
-    world.tell_all()
+    world.send_all()
+    world.send_all()
     assert len({one.digest for one in world.ledgers}) == 1
     assert len({one.is_held(CULPRIT) for one in world.ledgers}) == 1
--- a/crankchute/core/crash_watch.py
+++ b/crankchute/core/crash_watch.py
@@ -1,32 +1,30 @@
-"""Finds out which servers crashed under which requests.
+"""Detects servers that crashed, and records which requests they were running.
 
-A connection that ends without an answer may have been cut by its server, or on
-the way: servers that drop one answer in twenty, and networks that reset half of
-all connections, crash nothing.  So the server's address is asked at once
-whether anybody listens there.  If nobody does, its process has ended, and
-whatever was in progress there may have been the cause.
+A connection that closes without an answer is no proof of a crash: a server or
+the network may drop connections.  So the instance then probes the server's
+address.  If nothing listens there the process has exited, and any request in
+progress there may be the cause.
 """
 
 from functools import partial
 
-from crankchute.core.crash_blame import CRASHES_TO_HOLD
-from crankchute.core.crash_ledger import REMEMBER_MS
+from crankchute.core.crash_blame import CRASHES_TO_QUARANTINE
+from crankchute.core.crash_ledger import RETENTION_MS
 from crankchute.core.outcomes import refuse_not_run
 
-#: How long a process that ends may take to close all that it had open.
-_CLOSING_MS = 20
-#: How often what is old is forgotten, in milliseconds.
-_FORGET_MS = 10_000
+#: How long an exiting process may take to close its listening socket.
+_PROBE_DELAY_MS = 20
+_EXPIRY_INTERVAL_MS = 10_000
 
 
-class _Doubt:
-    """A server that cut connections, and may have crashed.
+class _Probe:
+    """A pending check of a server that closed connections.
 
     Attributes:
-      at_ms: When the first of them was cut.
-      begun_ms: A map from the fingerprints of what was in progress on them to
-        when that was sent first.
-      waiting: Functions to call once it is known, a list.
+      at_ms: When the first connection closed.
+      begun_ms: A map from the fingerprints of the requests on the closed
+        connections to when each was first sent.
+      waiting: Functions to call when the result is known, a list.
     """
 
     __slots__ = ('at_ms', 'begun_ms', 'waiting')
@@ -38,9 +36,9 @@
 
 
 class CrashWatch:
-    """Asks about servers that cut connections, and keeps the ledger."""
+    """Probes servers that close connections, and updates the crash ledger."""
 
-    __slots__ = ('_doubts', '_ledger', '_on_crashed', '_port', '_timers')
+    __slots__ = ('_ledger', '_on_crashed', '_port', '_probes', '_timers')
 
     def __init__(self, ledger, port, timers, on_crashed=None):
         """Create the watch.
@@ -50,41 +48,43 @@
           port: A ForwardPort.
           timers: A TimerService.
           on_crashed: A function of the Backend that crashed and of the
-            fingerprints of the requests that it worked on; or None.
+            fingerprints of the requests in progress there; or None.
         """
         self._on_crashed = on_crashed
         self._ledger = ledger
         self._port = port
         self._timers = timers
-        self._doubts = {}
-        timers.every(_FORGET_MS, ledger.forget_old)
+        self._probes = {}
+        timers.every(_EXPIRY_INTERVAL_MS, ledger.discard_expired)
 
     def note_cut(self, attempt, fingerprint, on_known):
-        """Note that a server cut the connection of a request.
+        """Record that a server closed the connection of a request.
 
         Args:
           attempt: The Attempt.
           fingerprint: The request's fingerprint.
           on_known: A function without arguments, called when the request may
-            be sent again: at once, unless it would be held if the server has
-            crashed.  Then nobody else's prompts should be broken off by one
-            more; it takes 20 ms and a round trip.
+            be retried.  That is at once, unless a crash would quarantine the
+            request; then it waits for the probe, so that the retry doesn't
+            interrupt the requests of one more server.
         """
         backend = attempt.backend
-        doubt = self._doubts.get(backend.identity)
-        if doubt is None:
-            doubt = _Doubt(self._timers.clock.now_ms())
-            self._doubts[backend.identity] = doubt
-            self._timers.after(_CLOSING_MS, partial(self._ask, backend))
-        begun_ms = doubt.begun_ms.get(fingerprint, attempt.sent_ms)
-        doubt.begun_ms[fingerprint] = min(begun_ms, attempt.sent_ms)
-        if self._ledger.count_crashes(fingerprint) + 1 < CRASHES_TO_HOLD:
+        probe = self._probes.get(backend.identity)
+        if probe is None:
+            probe = _Probe(self._timers.clock.now_ms())
+            self._probes[backend.identity] = probe
+            self._timers.after(
+                _PROBE_DELAY_MS, partial(self._send_probe, backend)
+            )
+        begun_ms = probe.begun_ms.get(fingerprint, attempt.sent_ms)
+        probe.begun_ms[fingerprint] = min(begun_ms, attempt.sent_ms)
+        if self._ledger.count_crashes(fingerprint) + 1 < CRASHES_TO_QUARANTINE:
             on_known()
         else:
-            doubt.waiting.append(on_known)
+            probe.waiting.append(on_known)
 
     def note_answered(self, fingerprint):
-        """Note that a server gave a whole answer to a request.
+        """Record that a server answered a request completely.
 
         Args:
           fingerprint: The request's fingerprint.
@@ -92,7 +92,7 @@
         self._ledger.note_answered(fingerprint)
 
     def is_suspect(self, fingerprint):
-        """Tell whether a server crashed under a request, a bool.
+        """Return whether any server crashed while running a request.
 
         Args:
           fingerprint: The request's fingerprint.
@@ -100,23 +100,23 @@
         return self._ledger.count_crashes(fingerprint) > 0
 
     def may_try_again(self, fingerprint):
-        """Tell whether a submission that failed may go to another server.
+        """Return whether a failed request may be retried at another server.
 
-        One that met as many ends as are enough to hold it may be their cause,
-        though another request hides that.  Its caller may come back; but if each
-        submission goes to two servers, two copies reach four before it is held:
-        so in 1 of 400 simulated days (bench.crash_ways), where three may be.
+        A request present at enough crashes may be their cause even if it is not
+        quarantined, because another request was present as well.  The client
+        may submit it again, but each submission gets one attempt: with two,
+        concurrent copies can crash a fourth server before the quarantine.
 
         Args:
           fingerprint: The request's fingerprint.
         """
-        return self._ledger.count_crashes(fingerprint) < CRASHES_TO_HOLD
+        return self._ledger.count_crashes(fingerprint) < CRASHES_TO_QUARANTINE
 
     def find_refusal(self, fingerprint):
-        """Return why a request must not be sent, a Refusal, or None.
+        """Return the Refusal of a quarantined request, else None.
 
-        It is refused before it runs, and its caller is told when it would be
-        tried again if it did not come meanwhile.
+        The refusal says that the request did not run, and when its quarantine
+        ends if it is not submitted before.
 
         Args:
           fingerprint: The request's fingerprint.
@@ -126,28 +126,28 @@
         return refuse_not_run(
             'crashes_servers',
             'servers that ran this request crashed',
-            REMEMBER_MS,
+            RETENTION_MS,
         )
 
-    def _ask(self, backend):
-        self._port.ask_listening(backend, partial(self._settle, backend))
+    def _send_probe(self, backend):
+        self._port.ask_listening(backend, partial(self._finish_probe, backend))
 
-    def _settle(self, backend, is_listening):
-        doubt = self._doubts.pop(backend.identity)
-        # Without an answer the network may be at fault.
+    def _finish_probe(self, backend, is_listening):
+        probe = self._probes.pop(backend.identity)
+        # None means that the probe got no answer: perhaps a network failure.
         if is_listening is False:
-            self._note_crash(backend, doubt)
-        for on_known in doubt.waiting:
+            self._note_crash(backend, probe)
+        for on_known in probe.waiting:
             on_known()
 
-    def _note_crash(self, backend, doubt):
-        # Nobody knows of it before its entry lapses, after three heartbeats.
+    def _note_crash(self, backend, probe):
+        # The server stays listed until it has missed three heartbeats.
         backend.breaker.trip(self._timers.clock.now_ms())
         if self._on_crashed is not None:
-            self._on_crashed(backend, doubt.begun_ms)
+            self._on_crashed(backend, probe.begun_ms)
         self._ledger.note_crash(
             backend.identity,
-            doubt.at_ms,
-            doubt.begun_ms,
-            doubt.begun_ms,
+            probe.at_ms,
+            probe.begun_ms,
+            probe.begun_ms,
         )
--- a/crankchute/core/crash_watch_test.py
+++ b/crankchute/core/crash_watch_test.py
@@ -1,4 +1,4 @@
-"""Tests of what tells a crash from a connection that was cut."""
+"""Tests of the detection of server crashes, and of the quarantine."""
 
 import pytest
 
@@ -9,21 +9,22 @@
 from crankchute.ports.forwarding import AnswerHead, StreamEvent
 
 CULPRIT = 7
-RIDER = 8
+BYSTANDER = 8
 HINT_MS = 600_000
 NOT_RUN = ('refused', Outcome.NOT_RUN)
 FAILED = ('refused', Outcome.FAILED)
-_SETTLE_MS = 25
+#: Longer than the delay of the probe that follows a closed connection.
+_PROBE_MS = 25
 
 
 class World(ForwardWorld):
-    """A desk whose servers cut connections, and have crashed or not."""
+    """A forwarding setup whose servers close connections or crash."""
 
     def __init__(self, servers=40):
         super().__init__(servers)
 
     def cut(self, call, is_listening, *, is_cut=True):
-        """End a call; nobody listens there if its server has crashed."""
+        """Fail a call; a probe of its server then finds `is_listening`."""
         backend = call.placement.backend
         self.port.listening[backend.identity] = is_listening
         if is_listening is False and backend in self.backends:
@@ -31,8 +32,8 @@
         exc = BackendError('closed', sent=True, cut=is_cut)
         call.listener.on_failed(exc)
 
-    def ask(self, is_listening=None, fingerprint=CULPRIT, **fields):
-        """Return what the caller of a request sees whose attempts are cut."""
+    def submit_and_cut(self, is_listening=None, fingerprint=CULPRIT, **fields):
+        """Submit a request, close each attempt's connection, return the sink."""
         now_ms = self.timers.clock.now_ms()
         _flow, sink = self.submit(
             fingerprint=fingerprint,
@@ -45,8 +46,8 @@
             self.timers.advance(100)
         return sink
 
-    def answer_next(self, fingerprint):
-        """Return what the caller of a request sees that a server answers."""
+    def submit_and_answer(self, fingerprint):
+        """Submit a request, answer it if sent, return what the caller sees."""
         _flow, sink = self.submit(fingerprint=fingerprint)
         if not sink.seen:
             call = self.port.calls[-1]
@@ -59,27 +60,29 @@
     ('is_listening', 'sent'),
     [(False, 3), (True, 8), (None, 8)],
 )
-def test_only_servers_at_which_nobody_listens_have_crashed(is_listening, sent):
+def test_only_a_server_that_does_not_listen_counts_as_crashed(
+    is_listening, sent
+):
     """Four submissions of two attempts each."""
     world = World()
-    sinks = [world.ask(is_listening) for _ in range(4)]
+    sinks = [world.submit_and_cut(is_listening) for _ in range(4)]
     assert len(world.port.calls) == sent
     assert sinks[0].seen == [FAILED]
     assert (sinks[-1].seen == [NOT_RUN]) == (is_listening is False)
 
 
-def test_caller_is_told_when_the_request_would_be_tried_again():
+def test_refusal_says_when_the_quarantine_ends():
     world = World()
     for _ in range(3):
-        sink = world.ask(is_listening=False)
+        sink = world.submit_and_cut(is_listening=False)
     assert sink.seen == [NOT_RUN]
     assert sink.hint_ms == HINT_MS
     assert world.journal.ends[-1] == 'crashes_servers'
 
 
 @pytest.mark.parametrize('is_cut', [True, False])
-def test_failures_of_other_kinds_tell_nothing(is_cut):
-    """Silence, time-outs and wrong answers may come of anything."""
+def test_other_failures_do_not_count_as_crashes(is_cut):
+    """Time-outs and invalid answers have many other causes."""
     world = World()
     for _ in range(6):
         world.submit(fingerprint=CULPRIT)
@@ -90,13 +93,13 @@
 
 
 def test_request_is_not_sent_to_a_fourth_server():
-    """What may have been its third crash is settled before it goes on."""
+    """The retry waits for the probe after what may be the third crash."""
     world = World()
-    world.ask(is_listening=False)
+    world.submit_and_cut(is_listening=False)
     _flow, sink = world.submit(fingerprint=CULPRIT)
     world.cut(world.port.calls[2], False)
     assert sink.seen == []
-    world.timers.advance(_SETTLE_MS)
+    world.timers.advance(_PROBE_MS)
     assert sink.seen == [FAILED]
     assert len(world.port.calls) == 3
 
@@ -105,29 +108,29 @@
     ('ends', 'seen'),
     [('cancel', []), ('deadline', [FAILED])],
 )
-def test_request_that_ends_meanwhile_stays_over(ends, seen):
+def test_request_that_ends_during_the_probe_is_not_retried(ends, seen):
     world = World()
-    world.ask(is_listening=False)
+    world.submit_and_cut(is_listening=False)
     now_ms = world.timers.clock.now_ms()
     flow, sink = world.submit(fingerprint=CULPRIT, deadline_ms=now_ms + 5)
     world.cut(world.port.calls[2], True)
     if ends == 'cancel':
         flow.cancel()
-    world.timers.advance(_SETTLE_MS)
+    world.timers.advance(_PROBE_MS)
     assert flow.ended
     assert sink.seen == seen
     assert len(world.port.calls) == 3
 
 
-def test_other_requests_wait_for_nothing():
+def test_retry_without_earlier_crashes_does_not_wait():
     world = World()
     world.submit(fingerprint=8)
     world.cut(world.port.calls[0], False)
     assert len(world.port.calls) == 2
 
 
-def test_stream_of_a_held_request_is_broken_off():
-    """A copy that is on its way when the request is held goes nowhere else."""
+def test_stream_of_a_quarantined_request_is_not_resumed():
+    """A copy in progress during the quarantine gets no further attempt."""
     world = World()
     fields = {'is_stream': True, 'repeat': Repeat.RESUME}
     _flow, sink = world.submit(fingerprint=CULPRIT, **fields)
@@ -135,43 +138,43 @@
     copy_call.listener.on_head(AnswerHead(200))
     copy_call.listener.on_event(StreamEvent(1, b'id: 1\n\n'))
     for _ in range(2):
-        world.ask(is_listening=False)
+        world.submit_and_cut(is_listening=False)
     sent = len(world.port.calls)
     world.cut(copy_call, False)
-    world.timers.advance(_SETTLE_MS)
+    world.timers.advance(_PROBE_MS)
     assert sink.seen[-1] == FAILED
     assert len(world.port.calls) == sent
 
 
 @pytest.mark.parametrize('rounds', [1, 2, 3, 5])
-def test_request_that_rides_along_is_served(rounds):
-    """Its servers ended under another one, which was there each time."""
+def test_bystander_is_served(rounds):
+    """Its servers crashed under another request, present each time."""
     world = World()
     for _ in range(rounds):
         first = len(world.port.calls)
         world.submit(fingerprint=CULPRIT, max_attempts=1)
-        world.submit(fingerprint=RIDER, max_attempts=1)
+        world.submit(fingerprint=BYSTANDER, max_attempts=1)
         both = world.port.calls[first:]
         if len(both) < 2:
             break
         for call in both:
-            # Both are there, though the second one would run alone.
+            # Put both on one server: a suspect would otherwise run alone.
             call.placement.backend = both[0].placement.backend
         for call in both:
             world.cut(call, is_listening=False)
         world.timers.advance(100)
-        # The other one comes also without it, which ends no server alone.
-        world.ask(is_listening=False, max_attempts=1)
-    assert world.answer_next(RIDER) == [('answer', 200)]
+        # The culprit also runs without the bystander, and crashes a server.
+        world.submit_and_cut(is_listening=False, max_attempts=1)
+    assert world.submit_and_answer(BYSTANDER) == [('answer', 200)]
 
 
-def test_request_that_may_be_the_cause_goes_to_one_server_at_a_time():
-    """Two that were always together cannot be told apart, and are not held."""
+def test_possible_culprit_gets_one_attempt_per_submission():
+    """Two requests always present together are both left unquarantined."""
     world = World()
     for _ in range(3):
         first = len(world.port.calls)
         world.submit(fingerprint=CULPRIT, max_attempts=1)
-        world.submit(fingerprint=RIDER, max_attempts=1)
+        world.submit(fingerprint=BYSTANDER, max_attempts=1)
         both = world.port.calls[first:]
         for call in both:
             call.placement.backend = both[0].placement.backend
@@ -179,12 +182,12 @@
             world.cut(call, is_listening=False)
         world.timers.advance(100)
     before = len(world.port.calls)
-    assert world.ask(is_listening=False).seen == [FAILED]
+    assert world.submit_and_cut(is_listening=False).seen == [FAILED]
     assert len(world.port.calls) - before == 1
 
 
-def test_servers_that_end_for_nobody_hold_nobody():
-    """The same request is sent again and again while all servers go down."""
+def test_crashes_of_other_cause_quarantine_no_request():
+    """A request is retried while servers go down for another reason."""
     world = World()
     for copies in range(18):
         world.submit(fingerprint=CULPRIT, max_attempts=1)
@@ -192,45 +195,41 @@
         if copies % 6 < 5:
             continue
         world.timers.advance(1000)
-        assert world.answer_next(CULPRIT) == [('answer', 200)]
+        assert world.submit_and_answer(CULPRIT) == [('answer', 200)]
 
 
 @pytest.mark.parametrize(
     ('crashes', 'is_alone'),
     [(0, False), (1, True), (2, True)],
 )
-def test_request_under_which_a_server_crashed_runs_alone(crashes, is_alone):
-    """Nobody else's answer is broken off if it ends another one.
-
-    83 answers of others were broken off in a simulated day without this, and 27
-    with it (bench.crash_ways, means of 20 seeds).
-    """
+def test_suspect_request_runs_on_an_idle_server(crashes, is_alone):
+    """A further crash would otherwise interrupt the answers of others."""
     world = World(servers=6)
-    world.submit(fingerprint=RIDER, max_attempts=1)
-    rider = world.port.calls[-1]
+    world.submit(fingerprint=BYSTANDER, max_attempts=1)
+    bystander = world.port.calls[-1]
     for number in range(crashes):
         now_ms = world.timers.clock.now_ms()
         world.crashes.note_crash(f'gone-{number}', now_ms, [CULPRIT])
     world.submit(fingerprint=CULPRIT)
     chosen = world.port.calls[-1].placement.backend
-    assert (chosen is not rider.placement.backend) == is_alone
+    assert (chosen is not bystander.placement.backend) == is_alone
 
 
-def test_request_runs_beside_others_if_all_servers_work():
+def test_suspect_request_shares_a_server_if_none_is_idle():
     world = World(servers=1)
-    world.submit(fingerprint=RIDER)
+    world.submit(fingerprint=BYSTANDER)
     world.crashes.note_crash('gone', 0, [CULPRIT])
     world.submit(fingerprint=CULPRIT)
     assert len(world.port.calls) == 2
 
 
-def test_server_that_crashed_is_left_alone():
-    """Its entry stays for three heartbeats; others are asked meanwhile."""
+def test_crashed_server_is_not_chosen_while_still_listed():
+    """It stays listed until it has missed three heartbeats."""
     world = World(servers=2)
     backend = world.backends[0]
-    world.submit(fingerprint=RIDER, max_attempts=1)
+    world.submit(fingerprint=BYSTANDER, max_attempts=1)
     world.cut(world.port.calls[0], is_listening=False)
-    world.timers.advance(_SETTLE_MS)
+    world.timers.advance(_PROBE_MS)
     assert backend.breaker.is_open
     world.backends.insert(0, backend)
     world.submit(fingerprint=CULPRIT)
