--- a/crankchute/core/fleet.py
+++ b/crankchute/core/fleet.py
@@ -1,7 +1,7 @@
-"""What one entry instance knows of the backend servers.
+"""The backend servers as one entry instance sees them.
 
-The instance list says who exists and who is leaving; engines report their
-load with a lag; the instance itself knows exactly what it has in flight.
+The instance list says which servers exist and which are leaving; engines
+report their load with a delay; an instance counts its own requests exactly.
 """
 
 from collections import Counter
@@ -12,8 +12,8 @@
 from crankchute.core.prefix import PrefixKnowledge
 from crankchute.core.suspicion import Suspicion
 
-#: How old an engine's load is at most when its report arrives.
-REPORT_LAG_MS = 200
+#: The greatest age of an engine's load figures when its report arrives.
+_REPORT_LAG_MS = 200
 LIVE = 'live'
 LEAVING = 'leaving'
 KIND_ENGINE = 'engine'
@@ -21,14 +21,14 @@
 
 
 class Listed:
-    """One instance as the platform lists it.
+    """One entry of the platform's instance list.
 
     Attributes:
-      listed_id: The id under which it is listed and to which it answers.  It
-        may start again under the same id, and then knows nothing of before.
-      born: When it started, a Unix millisecond, or None if it does not tell.
-      identity: What tells this start of it from all others; everything that
-        is known or believed of it is kept by this.
+      listed_id: The id of the entry.  An instance may restart under the same
+        id, and has then lost its state.
+      born: When it started, in Unix milliseconds, or None if unknown.
+      identity: A key that differs for each start; state about the instance is
+        kept under it.
     """
 
     __slots__ = (
@@ -46,23 +46,23 @@
         """Create the record.
 
         Args:
-          document: A map with `id`, `kind`, `address` ("IP:port"),
-            `data_centre`, `labels` and `state`; `born` where it tells.
+          document: A map with `id`, `kind`, `address` ("IP:port") and
+            `data_centre`; optionally `labels`, `state` and `born`.
         """
         self.listed_id = document['id']
         self.born = document.get('born')
-        self.identity = name_start(self.listed_id, self.born)
+        self.identity = make_identity(self.listed_id, self.born)
         self.kind = document['kind']
         self.address = parse_address(document['address'])
         self.data_centre = document['data_centre']
         self.labels = document.get('labels', {})
         self.state = document.get('state', LIVE)
 
-    def restarted(self, born):
-        """Return the record of a later start of the same instance.
+    def copy_restarted(self, born):
+        """Return the record of another start of the same instance.
 
         Args:
-          born: When that was, a Unix millisecond.
+          born: The time of that start, in Unix milliseconds.
         """
         host, port = self.address
         return Listed(
@@ -78,7 +78,7 @@
         )
 
     def is_older(self, other):
-        """Tell whether this is an earlier start of the same instance.
+        """Return whether this is an earlier start of the same instance.
 
         Args:
           other: A Listed with the same listed id.
@@ -88,46 +88,44 @@
         return self.born < other.born
 
 
-def name_start(listed_id, born):
-    """Return what one start of an instance is known by.
+def make_identity(listed_id, born):
+    """Return the key of one start of an instance, a string.
 
     Args:
       listed_id: The id under which the instance is listed.
-      born: When it started, a Unix millisecond, or None if it does not tell.
-    Returns:
-      A string.
+      born: When it started, in Unix milliseconds, or None if unknown.
     """
     return listed_id if born is None else f'{listed_id}@{born}'
 
 
 def parse_address(text):
-    """Read an address.
+    """Parse an address.
 
     Args:
       text: "IP:port".
     Returns:
-      A pair of IP number and port.
+      A pair of an IP address and a port number.
     """
     host, _, port = text.rpartition(':')
     return host, int(port)
 
 
 class LoadReport:
-    """What an engine said of itself, some time ago.
+    """An engine's report of its own load.
 
     Attributes:
-      boot: The engine's incarnation.
-      at_ms: When the report came, on this process's clock.
-      queued_tokens: Prompt tokens that wait for prefill, an int.
+      boot: An id of the engine's process; it changes with each restart.
+      at_ms: When the report arrived, on this process's clock.
+      queued_tokens: Prompt tokens waiting for prefill, an int.
       queued_by_priority: The same as pairs of priority and tokens, a tuple;
-        one pair of priority 0 if the engine does not tell.
-      running: How many streams it generates, an int.
-      memory_free: Tokens of KV memory that are free, an int.
-      memory_total: All of its KV memory, in tokens.
-      prefill_rate: Prompt tokens it works off in a millisecond, a float.
+        one pair of priority 0 if the engine reports no priorities.
+      running: The number of streams being generated.
+      memory_free: Free KV cache memory, in tokens.
+      memory_total: Total KV cache memory, in tokens.
+      prefill_rate: Prompt tokens processed per millisecond, a float.
       holding: The Holding.
-      leaving: Whether it says that it is leaving, a bool.
-      checks_fences: Whether it says that it checks fences, a bool.
+      leaving: Whether the engine is leaving, a bool.
+      checks_fences: Whether the engine checks fences, a bool.
     """
 
     __slots__ = (
@@ -148,8 +146,8 @@
         """Create the record.
 
         Args:
-          at_ms: When the report came.
-          document: A map with a value for each other attribute.
+          at_ms: When the report arrived.
+          document: A map with the fields of a report.
         """
         self.at_ms = at_ms
         self.boot = document['boot']
@@ -176,13 +174,16 @@
     Attributes:
       listed: The Listed record.
       load: The newest LoadReport, or None.
-      in_flight: How many requests this instance has there, an int.
-      pending_tokens: Prompt tokens this instance sent that have not led to a
-        first token yet, an int.
-      serving_long: How many long prompts of this instance are there.
-      refused_until_ms: Until when the server asked not to be called.
-      breaker: The Breaker of this instance's requests.
-      suspicion: The Suspicion, by all instances' signs.
+      in_flight: The number of this instance's requests in progress there.
+      pending_tokens: Prompt tokens that this instance sent and that have not
+        led to a first token yet.
+      prefix: The PrefixKnowledge.
+      serving_long: The number of this instance's long prompts there.
+      refused_until_ms: When requests may be sent again, after the server asked
+        to be sent none.
+      breaker: The circuit breaker of this instance's requests.
+      suspicion: The estimate of the server's failure rate, from the requests
+        of all instances.
     """
 
     __slots__ = (
@@ -199,7 +200,7 @@
     )
 
     def __init__(self, listed):
-        """Create the record of a server without any load.
+        """Create the record of a server that has reported no load.
 
         Args:
           listed: A Listed.
@@ -217,33 +218,33 @@
 
     @property
     def identity(self):
-        """The server's id."""
+        """The key of this start of the server; see Listed."""
         return self.listed.identity
 
     @property
     def is_leaving(self):
-        """Whether the list or the server itself says that it is leaving."""
+        """Whether the instance list or the server says that it is leaving."""
         if self.listed.state == LEAVING:
             return True
         return self.load is not None and self.load.leaving
 
     @property
     def models(self):
-        """The models that the server reported, a map to versions."""
+        """A map from each model that the server reported to its versions."""
         return {} if self.load is None else self.load.holding.models
 
     def note_failed(self, now_ms, weight=1):
-        """Note that a request of this instance failed there.
+        """Record that a request of this instance failed there.
 
         Args:
           now_ms: The time.
-          weight: How sure it is that the server is at fault, up to 1.
+          weight: How certain it is that the server is at fault, up to 1.
         """
         self.breaker.note_failure(now_ms)
         self.suspicion.note_failure(now_ms, weight)
 
     def note_sound(self, now_ms):
-        """Note that a request of this instance was answered.
+        """Record that a request of this instance succeeded there.
 
         Args:
           now_ms: The time.
@@ -252,15 +253,15 @@
         self.suspicion.note_success(now_ms)
 
     def leave_alone(self, until_ms):
-        """Note until when the server wants nothing; none is made shorter.
+        """Send no requests before a time; an earlier time changes nothing.
 
         Args:
-          until_ms: A moment on this process's clock.
+          until_ms: A time on this process's clock.
         """
         self.refused_until_ms = max(self.refused_until_ms, until_ms)
 
     def note_load(self, report):
-        """Take a load report.
+        """Store a load report, and drop prefixes from before a restart.
 
         Args:
           report: A LoadReport.
@@ -270,7 +271,7 @@
         self.load = report
 
     def note_sent(self, priority, tokens):
-        """Note that this instance sent a prompt.
+        """Record that this instance sent a prompt.
 
         Args:
           priority: Its priority at the engine.
@@ -280,7 +281,7 @@
         self._pending[priority] += tokens
 
     def note_answered(self, priority, tokens):
-        """Note that a prompt led to its first token, or was given up.
+        """Record that a prompt led to its first token, or was abandoned.
 
         Args:
           priority: Its priority at the engine.
@@ -290,30 +291,28 @@
         self._pending[priority] -= tokens
 
     def tokens_ahead(self, priority, now_ms):
-        """Estimate the prompt tokens that would go before a new request.
+        """Estimate the prompt tokens queued ahead of a new request, a float.
 
-        What the engine reported has been worked off since at its own rate;
-        what this instance sent and has no first token of is known exactly.
-        The larger of the two counts, since one includes part of the other.
+        This is the larger of two overlapping figures: the reported queue less
+        what the engine has processed since, and the prompts of this instance
+        that have no first token yet.
 
         Args:
           priority: The new request's priority at the engine.
           now_ms: The time in milliseconds.
-        Returns:
-          A float.
         """
         load = self.load
         reported = _sum_ahead(load.queued_by_priority, priority)
-        age_ms = now_ms - load.at_ms + REPORT_LAG_MS
+        age_ms = now_ms - load.at_ms + _REPORT_LAG_MS
         left = reported - load.prefill_rate * age_ms
         return max(left, _sum_ahead(self._pending.items(), priority))
 
 
 class Fleet:
-    """All backend servers that the platform lists.
+    """The backend servers on the platform's instance list.
 
     Attributes:
-      version: Rises with each new instance list.
+      version: Incremented with each new instance list.
     """
 
     def __init__(self):
@@ -324,7 +323,7 @@
         self.version = 0
 
     def __iter__(self):
-        """Iterate over the backends, leaving ones included."""
+        """Iterate over the backends, including leaving ones."""
         return iter(self._backends.values())
 
     def __len__(self):
@@ -336,14 +335,14 @@
         return self._backends.get(identity)
 
     def members_of(self, pool):
-        """Return the backends that a pool's selector chooses.
+        """Return the backends that match a pool's selector.
 
-        They are chosen once for each instance list and configuration.
+        The result is cached until the next instance list or configuration.
 
         Args:
           pool: A Pool.
         Returns:
-          A list of Backend, leaving ones included.
+          A list of Backend, including leaving ones.
         """
         members = self._members.get(pool)
         if members is None:
@@ -357,10 +356,10 @@
         return members
 
     def reporting_of(self, pool):
-        """Return the backends of a pool whose load was ever reported here.
+        """Return the backends of a pool that have reported a load.
 
-        An instance asks a bounded number of engines, so this stays short
-        when the instance list is long.
+        An instance polls a bounded number of engines, so the result stays
+        short however long the instance list is.
 
         Args:
           pool: A Pool.
@@ -375,7 +374,7 @@
         return reporting
 
     def note_load(self, backend, report):
-        """Take a load report of a backend.
+        """Store a load report of a backend.
 
         Args:
           backend: A Backend of this fleet.
@@ -386,10 +385,10 @@
         backend.note_load(report)
 
     def replace(self, listed):
-        """Take a new instance list.
+        """Replace the instance list.
 
         Args:
-          listed: An iterable of Listed; entry instances are passed over.
+          listed: An iterable of Listed; entry instances are skipped.
         """
         known = self._backends
         self._backends = {}
@@ -407,10 +406,10 @@
 
 
 def _sum_ahead(queued, priority):
-    """Sum the tokens that go before a request of a priority.
+    """Return the queued tokens ahead of a request of a priority.
 
     Args:
       queued: Pairs of priority and tokens.
-      priority: The request's priority.
+      priority: The request's priority; smaller values go first.
     """
     return sum(tokens for level, tokens in queued if level <= priority)
--- a/crankchute/core/forward_fleet.py
+++ b/crankchute/core/forward_fleet.py
@@ -1,42 +1,43 @@
-"""The backend servers of forwarding, as the store and the peers tell of them.
+"""The backend servers of forwarding, from the store and the other instances.
 
-A server that drains takes no new requests from the moment anyone here knows
-of it, whatever the store says later.  One whose entry is gone takes none until
-its entry is back: entries lapse while the store is away, and the servers
-behind them mostly live.  Around trouble with the store, such entries are kept
-for a while.
+A server that drains gets no new requests from then on, whatever the store says
+later.  A server whose entry was removed gets none until the entry is back.
+Entries expire while the store is unavailable, mostly with their servers still
+running, so entries lost at such a time are kept for a grace period.
 
-A server that wants rest is told so to the instance that it turned away, and is
-left alone by that one alone.
+A server that asks for no requests for a while (see server_rests) is avoided
+only by the instance that it asked.
 
-A server may start again under its id.  Then it holds and knows nothing of
-before, so everything here goes by its start (Listed.identity), and the later
-of two starts is the one that counts, in whatever order they are heard of.
+A server may restart under the same id, and has then lost its state.  So state is
+kept for each start (Listed.identity), and the latest start counts, in whatever
+order the starts are reported.
 """
 
 from crankchute.core.fleet import LEAVING, Backend
 from crankchute.core.server_rests import ServerRests
 
-#: How long an entry that vanished around trouble of the store is kept.
-_LAPSE_MS = 1800
-#: How long an id that drained is remembered.
-_REMEMBER_MS = 120_000
-#: How long the servers of a pool are listed as they are, while no entry
-#: changes; what is gone may be back a little later than it could.
-_KEEP_POOLS_MS = 500
-#: How long others are told that a server drains.
-_TELL_DRAINED_MS = 15_000
-#: How long a server stays out after another instance told that its entry is
-#: gone, if this instance's own list still has it.
-_GONE_MS = 8000
-#: How old a copy of the list may be from which the store comes back.
-_OLDEST_COPY_MS = 30_000
-#: What others tell is older than an entry that was read this lately here.
+#: How long an entry is kept that may have expired only because the store was
+#: unavailable.
+_LAPSE_GRACE_MS = 1800
+#: How long the times of servers that are no longer listed are kept.
+_RETENTION_MS = 120_000
+#: How long the members of a pool are cached while no entry changes; a server
+#: becomes available again up to this much late.
+_POOL_CACHE_MS = 500
+#: How long other instances are told that a server drains.
+_DRAINED_SHARE_MS = 15_000
+#: How long a server that is still listed here is avoided after another instance
+#: reported its entry as removed.
+_REMOVED_MS = 8000
+#: The greatest age of the copy from which the store may be restored.
+_MAX_COPY_AGE_MS = 30_000
+#: A removal reported by another instance is older than an entry that was read
+#: here within this time.
 _FRESH_MS = 3000
 
 
 class ForwardFleet:
-    """Backend servers by id and by pool.
+    """Backend servers by identity and by pool.
 
     Attributes:
       rests: The ServerRests.
@@ -47,28 +48,28 @@
 
         Args:
           timers: A TimerService.
-          pool_label: The label of a server that names its pool.
+          pool_label: The label that holds the name of a server's pool.
         """
         self._timers = timers
         self.rests = ServerRests(timers.clock)
         self._pool_label = pool_label
         self._on_restarted = []
-        self._newest = {}
+        self._latest_starts = {}
         self._backends = {}
-        self._drained_ms = {}
-        self._gone_ms = {}
-        self._left_ms = {}
-        self._listed_ms = {}
-        self._lapsing = {}
+        self._drained_at_ms = {}
+        self._removed_at_ms = {}
+        self._left_at_ms = {}
+        self._listed_at_ms = {}
+        self._lapse_timers = {}
         self._pools = {}
-        self._listed_pools_ms = float('-inf')
+        self._pools_at_ms = float('-inf')
 
     def __len__(self):
-        """Return the number of servers listed."""
+        """Return the number of servers."""
         return len(self._backends)
 
     def __iter__(self):
-        """Iterate over the servers, leaving ones included."""
+        """Iterate over the servers, including leaving ones."""
         return iter(self._backends.values())
 
     def get(self, identity):
@@ -76,52 +77,51 @@
         return self._backends.get(identity)
 
     def subscribe_restarted(self, callback):
-        """Be told of servers that started again.
+        """Call a function when a server has restarted.
 
         Args:
-          callback: A function of the Backend of the start that is over.
+          callback: A function of the Backend of the earlier start.
         """
         self._on_restarted.append(callback)
 
     def list_drained(self):
-        """Return the ids of all servers that are known to drain, a list."""
-        return list(self._drained_ms)
+        """Return the identities of all servers known to drain, a list."""
+        return list(self._drained_at_ms)
 
     def drained(self):
-        """Return the ids that were noted as draining lately, a list.
+        """Return the identities of servers that began to drain recently.
 
-        The others hear of them within a second or two, and whoever starts
-        gets the whole list; a release of all servers would otherwise be
-        told with every message for two minutes.
+        Other instances receive them within seconds, and new instances get the
+        whole list.  Without the limit, messages would grow with each release
+        that replaces all servers.
         """
         now_ms = self._now_ms()
         return [
             identity
-            for identity, since_ms in self._drained_ms.items()
-            if now_ms - since_ms < _TELL_DRAINED_MS
+            for identity, at_ms in self._drained_at_ms.items()
+            if now_ms - at_ms < _DRAINED_SHARE_MS
         ]
 
     def gone(self):
-        """Return the ids whose entries went lately, a list."""
+        """Return the identities of servers removed recently, a list."""
         now_ms = self._now_ms()
         return [
             identity
-            for identity, since_ms in self._gone_ms.items()
-            if now_ms - since_ms < _GONE_MS
+            for identity, at_ms in self._removed_at_ms.items()
+            if now_ms - at_ms < _REMOVED_MS
         ]
 
     def members_of(self, pool):
-        """Return the servers of a pool that take new requests.
+        """Return the servers of a pool that accept new requests.
 
         Args:
           pool: The pool's name.
         Returns:
-          A list of Backend; the same one while nothing changes, and not to
-          be changed.
+          A list of Backend; it is cached and must not be modified.
         """
         now_ms = self._now_ms()
-        if now_ms - self._listed_pools_ms > _KEEP_POOLS_MS:
-            self._listed_pools_ms = now_ms
+        if now_ms - self._pools_at_ms > _POOL_CACHE_MS:
+            self._pools_at_ms = now_ms
             self._pools = {}
         members = self._pools.get(pool)
         if members is None:
@@ -129,7 +129,7 @@
                 backend
                 for identity, backend in self._backends.items()
                 if self.pool_of(backend) == pool
-                and self._takes_requests(identity)
+                and self._accepts_requests(identity)
             ]
             self._pools[pool] = members
         return members
@@ -143,81 +143,82 @@
         return backend.listed.labels[self._pool_label]
 
     def put(self, listed):
-        """Take the entry of a server; one of an earlier start changes nothing.
+        """Add or update a server; an entry of an earlier start is ignored.
 
         Args:
           listed: A Listed.
         """
-        newest = self._newest.get(listed.listed_id, listed)
-        if newest.born is not None and listed.born is None:
-            # Servers that tell their start always do: this is not theirs.
+        latest = self._latest_starts.get(listed.listed_id, listed)
+        if latest.born is not None and listed.born is None:
+            # A server that publishes its start time always does, so this entry
+            # is of another server.
             self.remove(listed.listed_id, may_lapse=False)
-        elif not listed.is_older(newest):
-            self._put_newest(listed)
-            if newest.identity != listed.identity:
-                self._end_start(newest.identity)
+        elif not listed.is_older(latest):
+            self._put_latest(listed)
+            if latest.identity != listed.identity:
+                self._discard_earlier(latest.identity)
 
     def find_reporting(self, backend, born):
-        """Return the Backend that a server's own word is about, or None.
+        """Return the Backend that a server's report is about, or None.
 
-        A server may say of itself that it started again before its entry does.
+        A server's report may show a restart before the server's entry does.
 
         Args:
-          backend: The Backend that was asked.
-          born: When it says that it started, or None if it does not tell.
+          backend: The Backend that sent the report.
+          born: The start time in the report, or None.
         """
-        asked = backend.listed
-        if born is None or asked.born in {None, born}:
+        known = backend.listed
+        if born is None or known.born in {None, born}:
             return backend
-        said = asked.restarted(born)
-        if said.is_older(asked) or asked.state == LEAVING:
+        reported = known.copy_restarted(born)
+        if reported.is_older(known) or known.state == LEAVING:
             return None
-        self.put(said)
-        return self._backends.get(said.identity)
+        self.put(reported)
+        return self._backends.get(reported.identity)
 
     def remove(self, listed_id, *, may_lapse):
-        """Take the end of a server's entry.
+        """Remove a server whose entry was deleted or expired.
 
         Args:
           listed_id: The id under which the server was listed.
-          may_lapse: Whether the entry may have ended only because the store
-            was away.
+          may_lapse: Whether the entry may have expired only because the store
+            was unavailable.
         Returns:
           The identity of the server that was listed, or None.
         """
-        newest = self._newest.get(listed_id)
-        if newest is None or newest.identity not in self._backends:
+        latest = self._latest_starts.get(listed_id)
+        if latest is None or latest.identity not in self._backends:
             return None
-        identity = newest.identity
-        if may_lapse and identity not in self._drained_ms:
-            if identity not in self._lapsing:
-                self._lapsing[identity] = self._timers.after(
-                    _LAPSE_MS,
+        identity = latest.identity
+        if may_lapse and identity not in self._drained_at_ms:
+            if identity not in self._lapse_timers:
+                self._lapse_timers[identity] = self._timers.after(
+                    _LAPSE_GRACE_MS,
                     lambda: self._drop(identity),
                 )
         else:
-            self._left_ms[identity] = self._now_ms()
+            self._left_at_ms[identity] = self._now_ms()
             self._drop(identity)
         return identity
 
     def replace(self, listed, *, may_lapse, may_be_old=False):
-        """Take all entries at once.
+        """Replace all entries.
 
-        An older copy of the list holds entries that ended since.  While the
-        platform was sound they ended since their servers left, and those may
-        serve on; they get nothing, unless they write again.
+        A store restored from an older copy lists servers that have left since.
+        They may still be running, but get no requests until they write their
+        entries again.
 
         Args:
           listed: A list of Listed.
           may_lapse: See remove().
-          may_be_old: Whether the list may be from before what is known.
+          may_be_old: Whether the list may be older than the current one.
         """
         if may_be_old:
-            oldest_ms = self._now_ms() - _OLDEST_COPY_MS
+            oldest_ms = self._now_ms() - _MAX_COPY_AGE_MS
             listed = [
                 record
                 for record in listed
-                if self._left_ms.get(record.identity, oldest_ms) <= oldest_ms
+                if self._left_at_ms.get(record.identity, oldest_ms) <= oldest_ms
             ]
         present = {record.listed_id for record in listed}
         for record in listed:
@@ -227,64 +228,69 @@
                 self.remove(backend.listed.listed_id, may_lapse=may_lapse)
 
     def note_drained(self, identity):
-        """Note that a server drains; it gets no new request any more.
+        """Record that a server drains; it gets no new requests from now on.
 
         Args:
-          identity: The server's id.
+          identity: The server's identity.
         """
-        self._drained_ms.setdefault(identity, self._now_ms())
+        self._drained_at_ms.setdefault(identity, self._now_ms())
         self._pools = {}
-        self._forget_old()
+        self._discard_expired()
 
     def note_gone(self, identity, *, is_seen=False):
-        """Note that a server is gone, however its own entry is.
+        """Record that a server is gone although it may still be listed.
 
-        Another server that answers at its address is as sure a sign as can
-        be.  That one answers at once and seems idle, so that it would draw all
-        requests, and reject them, until its entry is gone.
+        The surest sign is that another server answers at its address.  That
+        one looks idle and rejects requests at once, so it would attract all
+        requests until the entry of the old one expires.
 
         Args:
-          identity: The server's id.
-          is_seen: Whether another server answered at its address; else an
-            instance told that the entry went, which may be older than it.
+          identity: The server's identity.
+          is_seen: Whether another server answered at its address; otherwise
+            another instance reported the removal, perhaps of an older entry.
         """
         now_ms = self._now_ms()
-        listed_ms = self._listed_ms.get(identity)
-        is_fresh = listed_ms is not None and now_ms - listed_ms < _FRESH_MS
+        listed_at_ms = self._listed_at_ms.get(identity)
+        is_fresh = (
+            listed_at_ms is not None and now_ms - listed_at_ms < _FRESH_MS
+        )
         if is_seen:
-            self._gone_ms[identity] = now_ms
+            self._removed_at_ms[identity] = now_ms
         elif not is_fresh:
-            # Those that tell it again do not know it any better.
-            self._gone_ms.setdefault(identity, now_ms)
+            # Repeated reports do not extend the time.
+            self._removed_at_ms.setdefault(identity, now_ms)
         self._pools = {}
 
     def _now_ms(self):
         return self._timers.clock.now_ms()
 
-    def _takes_requests(self, identity):
-        if identity in self._drained_ms:
+    def _accepts_requests(self, identity):
+        if identity in self._drained_at_ms:
             return False
-        gone_ms = self._gone_ms.get(identity)
-        return gone_ms is None or self._now_ms() - gone_ms > _GONE_MS
+        removed_at_ms = self._removed_at_ms.get(identity)
+        return (
+            removed_at_ms is None
+            or self._now_ms() - removed_at_ms > _REMOVED_MS
+        )
 
-    def _put_newest(self, listed):
+    def _put_latest(self, listed):
         self._cancel_lapse(listed.identity)
-        self._gone_ms.pop(listed.identity, None)
-        self._left_ms.pop(listed.identity, None)
-        self._listed_ms[listed.identity] = self._now_ms()
+        self._removed_at_ms.pop(listed.identity, None)
+        self._left_at_ms.pop(listed.identity, None)
+        self._listed_at_ms[listed.identity] = self._now_ms()
         backend = self._backends.get(listed.identity)
         if backend is None or backend.listed.address != listed.address:
             backend = Backend(listed)
             backend.leave_alone(self.rests.until_ms(listed.identity))
             self._backends[listed.identity] = backend
         backend.listed = listed
-        self._newest[listed.listed_id] = listed
+        self._latest_starts[listed.listed_id] = listed
         self._pools = {}
         if listed.state == LEAVING:
             self.note_drained(listed.identity)
 
-    def _end_start(self, identity):
-        """Forget a server's earlier start, and tell that it is over."""
+    def _discard_earlier(self, identity):
+        """Drop an earlier start of a server and notify the subscribers."""
         backend = self._backends.get(identity)
         if backend is not None:
             self._drop(identity)
@@ -292,7 +298,7 @@
                 callback(backend)
 
     def _cancel_lapse(self, identity):
-        timer = self._lapsing.pop(identity, None)
+        timer = self._lapse_timers.pop(identity, None)
         if timer is not None:
             timer.cancel()
 
@@ -300,34 +306,39 @@
         self._cancel_lapse(identity)
         backend = self._backends.pop(identity, None)
         if backend is not None:
-            # Its rest goes on, also one that another server told of.
+            # The pause that it asked for, perhaps through another server,
+            # outlasts the entry.
             self.rests.keep(identity, backend.refused_until_ms)
-        self._listed_ms.pop(identity, None)
-        self._gone_ms[identity] = self._now_ms()
+        self._listed_at_ms.pop(identity, None)
+        self._removed_at_ms[identity] = self._now_ms()
         self._pools = {}
-        self._forget_old()
-
-    def _forget_old(self):
-        oldest_ms = self._now_ms() - _REMEMBER_MS
-        for times in (self._drained_ms, self._gone_ms, self._left_ms):
-            for identity, since_ms in tuple(times.items()):
-                if since_ms < oldest_ms and identity not in self._backends:
+        self._discard_expired()
+
+    def _discard_expired(self):
+        oldest_ms = self._now_ms() - _RETENTION_MS
+        for times in (
+            self._drained_at_ms,
+            self._removed_at_ms,
+            self._left_at_ms,
+        ):
+            for identity, at_ms in tuple(times.items()):
+                if at_ms < oldest_ms and identity not in self._backends:
                     times.pop(identity)
-        self._newest = {
+        self._latest_starts = {
             listed_id: listed
-            for listed_id, listed in self._newest.items()
+            for listed_id, listed in self._latest_starts.items()
             if listed.identity in self._backends
-            or listed.identity in self._gone_ms
+            or listed.identity in self._removed_at_ms
         }
 
 
 def wants_requests(fleet, backend, now_ms):
-    """Tell whether a server neither leaves nor rests, as far as is known.
+    """Return whether a server accepts new requests, as far as is known.
 
     Args:
       fleet: The ForwardFleet.
       backend: A Backend.
       now_ms: The time.
     """
-    is_awake = now_ms >= backend.refused_until_ms
-    return is_awake and backend in fleet.members_of(fleet.pool_of(backend))
+    is_available = now_ms >= backend.refused_until_ms
+    return is_available and backend in fleet.members_of(fleet.pool_of(backend))
--- a/crankchute/core/forward_fleet_test.py
+++ b/crankchute/core/forward_fleet_test.py
@@ -1,4 +1,4 @@
-"""Tests of the backend servers that may get new requests."""
+"""Tests of which backend servers get new requests."""
 
 import pytest
 
@@ -45,15 +45,15 @@
         lambda fleet: fleet.note_drained('a'),
     ],
 )
-def test_server_that_drains_gets_nothing_more(leave):
+def test_draining_server_gets_no_new_requests(leave):
     world = World()
     leave(world.fleet)
     assert world.members() == {'b'}
-    # An older entry that comes late changes nothing.
+    # An entry from before the drain has no effect.
     world.fleet.put(make_listed('a'))
     assert world.members() == {'b'}
     assert world.fleet.drained() == ['a']
-    # The others are told for a while only; that it drains is for good.
+    # The drain is permanent, but is shared with others for a limited time.
     world.timers.advance(20_000)
     assert world.fleet.drained() == []
     assert world.fleet.list_drained() == ['a']
@@ -67,8 +67,8 @@
         lambda fleet, lapse: fleet.replace([make_listed('b')], may_lapse=lapse),
     ],
 )
-def test_server_whose_entry_went_is_back_with_it(leave, may_lapse):
-    """Entries lapse while the store is away; the servers mostly live."""
+def test_server_returns_with_its_entry(leave, may_lapse):
+    """Entries expire while the store is unavailable; most servers still run."""
     world = World()
     leave(world.fleet, may_lapse)
     world.timers.advance(2000)
@@ -83,7 +83,7 @@
     ('age_ms', 'members'),
     [(0, {'a', 'b'}), (4000, {'b'})],
 )
-def test_what_another_saw_go_counts_if_it_may_be_newer(age_ms, members):
+def test_reported_removal_counts_if_it_may_be_newer(age_ms, members):
     world = World()
     world.timers.advance(age_ms)
     world.fleet.note_gone('a')
@@ -92,8 +92,8 @@
     assert world.members() == {'a', 'b'}
 
 
-def test_server_that_moved_is_out_until_its_entry_changes():
-    """Its entry may be as fresh as can be; others hear of it too."""
+def test_server_replaced_at_its_address_is_avoided():
+    """Also if its entry is fresh; other instances are told."""
     world = World()
     world.fleet.note_gone('a', is_seen=True)
     assert world.members() == {'b'}
@@ -108,7 +108,7 @@
     assert world.members() == {'a', 'b'}
 
 
-def test_lapsed_entry_is_kept_for_a_while():
+def test_lapsed_entry_is_kept_for_a_grace_period():
     world = World()
     world.fleet.remove('a', may_lapse=True)
     assert world.members() == {'a', 'b'}
@@ -132,23 +132,23 @@
     assert world.fleet.get('a') is None
 
 
-def test_new_address_is_a_new_server():
+def test_entry_with_a_new_address_creates_a_new_backend():
     world = World()
     before = world.fleet.get('a')
     world.fleet.put(make_listed('a', port=7009))
     assert world.fleet.get('a') is not before
 
 
-class Restarts:
-    """A fleet with one server that tells when it started."""
+class RestartWorld:
+    """A fleet with one server that publishes its start time."""
 
     def __init__(self):
         self.timers = ManualTimers()
         self.fleet = ForwardFleet(self.timers, 'pool')
         self.fleet.put(make_listed('a', born=100))
         self.first = self.fleet.get('a@100')
-        self.over = []
-        self.fleet.subscribe_restarted(self.over.append)
+        self.ended = []
+        self.fleet.subscribe_restarted(self.ended.append)
 
     def members(self):
         return [one.identity for one in self.fleet.members_of(POOL)]
@@ -158,7 +158,7 @@
     world.fleet.note_drained('a@100')
 
 
-def hear_gone(world):
+def receive_removal(world):
     world.timers.advance(5000)
     world.fleet.note_gone('a@100')
 
@@ -167,14 +167,14 @@
     world.first.note_failed(0)
 
 
-@pytest.mark.parametrize('before', [drain, hear_gone, fail])
-def test_server_that_started_again_is_another_one(before):
-    """Nothing that was known of it holds, though its id is the same."""
-    world = Restarts()
+@pytest.mark.parametrize('before', [drain, receive_removal, fail])
+def test_restarted_server_starts_with_fresh_state(before):
+    """State of the earlier start must not apply, though the id is the same."""
+    world = RestartWorld()
     before(world)
     world.fleet.put(make_listed('a', born=200))
     assert world.members() == ['a@200']
-    assert world.over == [world.first]
+    assert world.ended == [world.first]
     again = world.fleet.get('a@200')
     assert again.suspicion.chance(0) == 0
     assert again.listed.listed_id == 'a'
@@ -192,36 +192,36 @@
         lambda fleet: fleet.note_gone('a@100'),
     ],
 )
-def test_word_of_an_earlier_start_changes_nothing(late):
-    world = Restarts()
+def test_late_news_of_an_earlier_start_has_no_effect(late):
+    world = RestartWorld()
     world.fleet.put(make_listed('a', born=200))
     late(world.fleet)
     assert world.members() == ['a@200']
 
 
-def test_entry_without_a_start_is_not_of_a_server_that_tells_it():
-    world = Restarts()
+def test_entry_that_lost_its_start_time_removes_the_server():
+    world = RestartWorld()
     world.fleet.put(make_listed('a'))
     assert world.members() == []
     world.fleet.put(make_listed('a', born=100))
     assert world.members() == ['a@100']
 
 
-def test_end_of_an_entry_ends_the_newest_start():
-    world = Restarts()
+def test_removal_applies_to_the_latest_start():
+    world = RestartWorld()
     world.fleet.remove('a', may_lapse=True)
     world.fleet.put(make_listed('a', born=200))
     world.timers.advance(2000)
     assert world.members() == ['a@200']
     world.fleet.remove('a', may_lapse=False)
     assert world.members() == []
-    # What is late is still of the earlier start.
+    # A late entry of the earlier start is still ignored.
     world.fleet.put(make_listed('a', born=100))
     assert world.members() == []
 
 
 @pytest.mark.parametrize(
-    ('born', 'told_of', 'members'),
+    ('born', 'identity', 'members'),
     [
         (None, 'a@100', ['a@100']),
         (100, 'a@100', ['a@100']),
@@ -229,16 +229,16 @@
         (50, None, ['a@100']),
     ],
 )
-def test_server_may_say_first_that_it_started_again(born, told_of, members):
-    world = Restarts()
+def test_report_may_show_a_restart_before_the_entry(born, identity, members):
+    world = RestartWorld()
     found = world.fleet.find_reporting(world.first, born)
-    assert (found and found.identity) == told_of
+    assert (found and found.identity) == identity
     assert world.members() == members
 
 
-def test_server_that_left_and_reports_another_start_takes_nothing():
-    """Only its entry says whether the new start takes requests."""
-    world = Restarts()
+def test_reported_restart_of_a_leaving_server_is_ignored():
+    """Only the entry says whether the new start accepts requests."""
+    world = RestartWorld()
     world.fleet.put(make_listed('a', LEAVING, born=100))
     assert world.fleet.find_reporting(world.first, 200) is None
     assert world.members() == []
