--- a/crankchute/core/seen_load.py
+++ b/crankchute/core/seen_load.py
@@ -1,83 +1,76 @@
-"""Load that a backend server told of itself, joined with what is known.
+"""Load reports of backend servers, compared with the requests known there.
 
-An instance knows what it sent and what others told it; a server knows all that
-it has, some time ago.  Requests that it has and nobody told of were sent by
-instances that ended without a word or cannot be heard.  They end in time, like
-all others, and nobody will tell when.
+An instance knows the requests that it sent and those that other instances
+reported; a server's report counts all its requests, with a delay.  Requests in
+a report that no instance accounts for were sent by instances that crashed or
+cannot be reached.  Nobody will report their end, so their number is estimated
+to fall over the duration of a usual request.
 """
 
 
 class SeenLoad:
-    """What a server told of itself.
+    """A server's report of its load.
 
     Attributes:
-      requests: How many requests it had, running or waiting, an int.
-      age_ms: How long ago that was, in milliseconds.
-      born: When it says that it started, a Unix millisecond, or None.
+      requests: The number of its requests, running or waiting.
+      age_ms: The age of the report, in milliseconds.
+      born: The start time in the report, in Unix milliseconds, or None.
     """
 
     __slots__ = ('age_ms', 'born', 'requests')
 
     def __init__(self, requests, born=None):
-        """Create the record of what a server has now.
-
-        Args:
-          requests: An int.
-          born: See the class.
-        """
+        """Create a report of age 0; see the class."""
         self.requests = requests
         self.age_ms = 0
         self.born = born
 
 
-#: What a server told this long ago is no longer compared with what it tells.
-_RECENT_MS = 2000
+#: Reports further apart than this are not compared.
+_MAX_INTERVAL_MS = 2000
 
 
 class UnknownLoad:
-    """The requests at one server that nobody told of.
+    """The requests at one server that no instance accounts for.
 
-    News of a request are on the way for some milliseconds, and a server counts
-    one that ended for as long as its pass lasts.  So of two times that a server
-    told its load shortly after one another the lower excess counts.
+    A single report may count too many: other instances' messages about new
+    requests arrive late, and a server counts a request that ended until its
+    current pass is over.  So the smaller excess of two successive reports counts.
     """
 
-    __slots__ = ('_excess', '_requests', '_since_ms')
+    __slots__ = ('_at_ms', '_excess', '_requests')
 
     def __init__(self):
-        """Create the record of a server that never told its load."""
+        """Create the record of a server that has sent no report."""
         self._excess = 0
         self._requests = 0
-        self._since_ms = float('-inf')
+        self._at_ms = float('-inf')
 
     def note(self, load, known, now_ms):
-        """Take what the server told.
+        """Record a report.
 
         Args:
           load: A SeenLoad.
-          known: How many requests were known there at that time.
+          known: How many requests were known there at the time of the report.
           now_ms: The time.
         """
         excess = max(load.requests - known, 0)
-        told_ms = now_ms - load.age_ms
-        is_recent = told_ms - self._since_ms < _RECENT_MS
+        at_ms = now_ms - load.age_ms
+        is_recent = at_ms - self._at_ms < _MAX_INTERVAL_MS
         self._requests = min(excess, self._excess) if is_recent else excess
         self._excess = excess
-        self._since_ms = told_ms
+        self._at_ms = at_ms
 
     def estimate(self, now_ms, usual_ms):
-        """Return how many of them are still there.
+        """Estimate how many of the requests are still there, a float.
 
-        What is met at some moment of its life has on average half of it left,
-        and is gone after all of it.
+        Their number falls linearly to zero over the usual duration.
 
         Args:
           now_ms: The time.
-          usual_ms: How long a usual request is at the server.
-        Returns:
-          A float.
+          usual_ms: The usual duration of a request at the server.
         """
         if not self._requests:
             return 0
-        left = 1 - (now_ms - self._since_ms) / usual_ms
+        left = 1 - (now_ms - self._at_ms) / usual_ms
         return self._requests * max(left, 0)
