--- a/crankchute/core/server_limits_test.py
+++ b/crankchute/core/server_limits_test.py
@@ -1,4 +1,4 @@
-"""Tests of which word of a server about its limit counts."""
+"""Tests of which report of a server's limit counts."""
 
 import copy
 
@@ -11,13 +11,13 @@
 
 
 class World:
-    """The words that one instance knows."""
+    """The server limits known at one instance."""
 
     def __init__(self):
         self.timers = ManualTimers()
-        self.words = ServerLimits(self.timers.clock, 'entry-0')
-        self.told = []
-        self.words.subscribe(lambda: self.told.append(self.now_ms))
+        self.limits = ServerLimits(self.timers.clock, 'entry-0')
+        self.notified_ms = []
+        self.limits.subscribe(lambda: self.notified_ms.append(self.now_ms))
 
     @property
     def now_ms(self):
@@ -30,45 +30,45 @@
 @pytest.mark.parametrize(
     ('answers', 'limit'),
     [
-        # When it came, when it was asked for, what it names.
+        # Triples of arrival time, send time of the request, and limit.
         ([(100, 90, None)], None),
         ([(100, 90, 3)], 3),
         ([(100, 90, 0)], 0),
-        # Asked for after the limit had been heard of: surely later.
+        # Request sent after the limit was known: the answer is later.
         ([(100, 90, 3), (120, 110, None)], None),
         ([(100, 90, 3), (120, 110, 5)], 5),
         ([(100, 90, 3), (120, 110, 2)], 2),
-        # Crossed: the server may have given it before.
+        # Request sent before the limit was known: the answer may be earlier.
         ([(100, 90, 3), (120, 80, None)], 3),
         ([(100, 90, 3), (120, 80, 5)], 3),
         ([(100, 90, 3), (120, 80, 2)], 2),
-        # The first answer without it ends it, and it may come again.
+        # An answer without a limit ends it; a later one may start it again.
         ([(100, 90, 0), (120, 110, None), (140, 130, 4)], 4),
         ([(100, 90, 4), (120, 110, None), (140, 80, 4)], 4),
-        # It is named again all the time; what was asked for before is older.
+        # Repeated answers renew the limit.
         ([(100, 90, 3), (500, 490, 3), (510, 400, None)], 3),
         ([(100, 90, 3), (500, 490, 3), (530, 510, None)], None),
-        # It changes with each answer.
+        # The limit changes with each answer.
         ([(100, 90, 3), (120, 110, 1), (140, 130, 8), (160, 150, 2)], 2),
     ],
 )
-def test_answers_that_cross_loosen_no_limit(answers, limit):
+def test_out_of_order_answer_does_not_loosen_the_limit(answers, limit):
     world = World()
     for at_ms, sent_ms, named in answers:
         world.go_to(at_ms)
-        world.words.take(SERVER, named, sent_ms)
-    assert world.words.limit_of(SERVER) == limit
+        world.limits.take(SERVER, named, sent_ms)
+    assert world.limits.limit_of(SERVER) == limit
 
 
 @pytest.mark.parametrize(
-    ('known', 'told', 'limit'),
+    ('known', 'received', 'limit'),
     [
-        # What is known and what another one tells: limit, when it was said.
+        # The known and the received report, as pairs of limit and time.
         (None, (3, 100), 3),
         (None, (None, 100), None),
         ((3, 100), (1, 200), 1),
         ((3, 100), (1, 50), 3),
-        # What loosens has to be newer for sure.
+        # A looser limit must be newer by more than the message delay.
         ((3, 100), (None, 200), 3),
         ((3, 100), (None, 900), None),
         ((3, 100), (8, 200), 3),
@@ -77,26 +77,26 @@
         ((None, 500), (2, 200), None),
     ],
 )
-def test_newer_word_of_another_instance_counts(known, told, limit):
+def test_newer_report_of_another_instance_counts(known, received, limit):
     world = World()
     world.go_to(1000)
-    for source, word in (('a', known), ('b', told)):
-        if word is not None:
-            world.words.hear([LimitWord(SERVER, *word, source)])
-    assert world.words.limit_of(SERVER) == limit
+    for source, report in (('a', known), ('b', received)):
+        if report is not None:
+            world.limits.hear([LimitWord(SERVER, *report, source)])
+    assert world.limits.limit_of(SERVER) == limit
 
 
-def test_word_that_is_known_does_not_grow_younger_on_its_way():
-    """It would override what was said since."""
+def test_repeated_report_keeps_its_first_time():
+    """A delayed copy must not override newer reports."""
     world = World()
-    world.words.hear([LimitWord(SERVER, 3, 100, 'a-1')])
-    world.words.hear([LimitWord(SERVER, 3, 5000, 'a-1')])
-    world.words.hear([LimitWord(SERVER, None, 1000, 'b-1')])
-    assert world.words.limit_of(SERVER) is None
+    world.limits.hear([LimitWord(SERVER, 3, 100, 'a-1')])
+    world.limits.hear([LimitWord(SERVER, 3, 5000, 'a-1')])
+    world.limits.hear([LimitWord(SERVER, None, 1000, 'b-1')])
+    assert world.limits.limit_of(SERVER) is None
 
 
 @pytest.mark.parametrize(
-    ('limits', 'told_ms'),
+    ('limits', 'notified_ms'),
     [
         ([(100, 3)], [100]),
         ([(100, 3), (200, 3)], [100]),
@@ -106,55 +106,55 @@
         ([(100, None)], []),
     ],
 )
-def test_others_are_told_at_once_of_news(limits, told_ms):
-    """What goes on they are told with the next message."""
+def test_only_changes_are_sent_without_delay(limits, notified_ms):
+    """An unchanged limit is sent with the next message."""
     world = World()
     for at_ms, limit in limits:
         world.go_to(at_ms)
-        world.words.take(SERVER, limit, at_ms)
-    assert world.told == told_ms
+        world.limits.take(SERVER, limit, at_ms)
+    assert world.notified_ms == notified_ms
 
 
-def test_others_are_told_of_the_newest_words_only():
-    """So that a message stays small, however many servers name limits."""
+def test_only_the_newest_reports_are_sent():
+    """The size of a message is bounded however many servers name limits."""
     world = World()
     for number in range(100):
-        world.words.take(f'i-{number}', 1, 0)
+        world.limits.take(f'i-{number}', 1, 0)
         world.timers.advance(10)
-    told = {one.server for one in world.words.tell()}
-    assert told == {f'i-{number}' for number in range(36, 100)}
+    servers = {one.server for one in world.limits.tell()}
+    assert servers == {f'i-{number}' for number in range(36, 100)}
     world.timers.advance(5000)
-    assert not world.words.tell()
+    assert not world.limits.tell()
 
 
-def test_limit_that_goes_on_is_told_on():
-    """Else nobody would know when it was last named."""
+def test_unchanged_limit_is_renewed():
+    """Other instances must learn when it was last named."""
     world = World()
     sources = set()
     for at_ms in range(0, 5000, 400):
         world.go_to(at_ms)
-        world.words.take(SERVER, 3, at_ms)
-        told = world.words.tell()[0]
-        assert told.at_ms == at_ms
-        sources.add(told.source)
+        world.limits.take(SERVER, 3, at_ms)
+        sent = world.limits.tell()[0]
+        assert sent.at_ms == at_ms
+        sources.add(sent.source)
     assert 4 <= len(sources) <= 5
 
 
-def test_end_of_a_limit_reaches_others_however_busy_the_server_is():
-    """Its last word with a limit and its first without it come close together.
+def test_end_of_a_limit_reaches_other_instances_of_a_busy_server():
+    """The last report of the limit and the first without it are close in time.
 
-    Which of the two is newer nobody can tell who was told of them.
+    A receiver cannot tell which of the two is newer until the second is renewed.
     """
-    hearing = World()
-    telling = World()
+    receiver = World()
+    sender = World()
     for at_ms in range(0, 8000, 20):
-        hearing.go_to(at_ms)
-        telling.go_to(at_ms)
+        receiver.go_to(at_ms)
+        sender.go_to(at_ms)
         limit = 50 if at_ms < 1300 else None
-        telling.words.take(SERVER, limit, at_ms - 1)
+        sender.limits.take(SERVER, limit, at_ms - 1)
         if not at_ms % 240:
-            hearing.words.hear(copy.deepcopy(telling.words.tell()))
+            receiver.limits.hear(copy.deepcopy(sender.limits.tell()))
         if at_ms == 1200:
-            assert hearing.words.limit_of(SERVER) == 50
-    assert telling.words.limit_of(SERVER) is None
-    assert hearing.words.limit_of(SERVER) is None
+            assert receiver.limits.limit_of(SERVER) == 50
+    assert sender.limits.limit_of(SERVER) is None
+    assert receiver.limits.limit_of(SERVER) is None
