--- a/crankchute/core/server_list.py
+++ b/crankchute/core/server_list.py
@@ -1,99 +1,99 @@
-"""The list of backend servers as the platform publishes it, for passing on.
+"""The platform's list of backend servers, as passed between instances.
 
-Few instances read the platform's store; the others get the entries that
-changed through them.  Entries keep the revision at which the store took them,
-so whoever has a list of some revision lacks just the entries above it, whoever
-read them.
+Only a few instances read the platform's store; they pass changed entries on to
+the others.  Each entry keeps the store revision of its last change, so an
+instance whose list is at some revision lacks exactly the entries with a higher
+one, whichever instance read them.
 """
 
 from crankchute.core.proof import Proof
 from crankchute.core.replica import Replica
 
-#: How many entries that are gone are kept for those that lack the end of
-#: them; whoever is further behind gets the whole list.
-_MOST_ENDED = 512
+#: How many deleted entries are kept for lists that still have them; a list that
+#: is further behind is replaced as a whole.
+_MAX_DELETED = 512
 
 
 class ServerList:
-    """The entries of the backend servers, at some revision."""
+    """The entries of the backend servers at some revision."""
 
     def __init__(self):
-        """Create an empty list, older than any."""
+        """Create an empty list of revision 0."""
         self._replica = Replica()
-        self._whole_below = 0
+        self._complete_from = 0
         self._proof = Proof()
 
     @property
     def revision(self):
-        """The revision of the newest entry, 0 before the first list."""
+        """The revision of the list, 0 before the first one."""
         return self._replica.revision
 
     def changes_since(self, revision):
-        """Return what a list at another revision lacks, or None.
+        """Return the changes that a list at another revision lacks, or None.
 
         Args:
           revision: The revision of the other list.
         Returns:
-          A ChangeSet; since 0 if it is the whole list.
+          A ChangeSet; it starts at 0 if it is the whole list.
         """
         if revision >= self.revision:
             return None
-        if revision < self._whole_below:
+        if revision < self._complete_from:
             return self._replica.changes_since(0)
         return self._replica.changes_since(revision)
 
     def take_all(self, entries, revision):
-        """Take the whole list as the platform told it.
+        """Replace the list by one read from the platform.
 
         Args:
-          entries: A map from id to Entry; some may be newer than the list.
-          revision: The store's revision that the list holds for, not lower
-            than that of this one.
+          entries: A map from id to Entry; some may be newer than the revision.
+          revision: The store's revision when the list was read, not lower than
+            that of this list.
         """
-        # What came and went below it is not known here.
-        self._whole_below = revision
+        # Entries deleted below this revision are unknown.
+        self._complete_from = revision
         self._replica = Replica(revision, entries)
 
     def take(self, changes):
-        """Take what changed, from the platform or another instance.
+        """Apply changes from the platform or from another instance.
 
         Args:
           changes: A ChangeSet that starts no later than this list.
         """
         if changes.revision > self.revision:
             self._replica = self._replica.advanced(changes)
-            # To look through all entries for ended ones with each change took
-            # a fifth of the time of learning of 3000 servers, 30 at a time.
+            # The scan of all entries is slow for long lists, so it runs only
+            # after a deletion.
             if any(one.payload is None for one in changes.entries.values()):
-                self._forget_ended()
+                self._discard_deleted()
 
     def prove(self, revision, asked_ms):
-        """Note that a revision was the newest at a moment.
+        """Record that a revision was the newest at a time.
 
         Args:
-          revision: The revision that was proved.
-          asked_ms: The moment, on this process's clock.
+          revision: The revision.
+          asked_ms: The time on this process's clock.
         """
         if revision == self.revision:
             self._proof.note(asked_ms)
 
     def proof_age_ms(self, now_ms):
-        """Return the age of the proof in milliseconds, or None.
+        """Return how long ago this list was known to be the newest, or None.
 
         Args:
           now_ms: The time on this process's clock.
         """
         return self._proof.age_ms(now_ms)
 
-    def _forget_ended(self):
-        """Forget the oldest ends beyond the number that is kept."""
+    def _discard_deleted(self):
+        """Discard the oldest deleted entries beyond the bound."""
         entries = self._replica.changes_since(0).entries
-        ended = sorted(
+        deleted = sorted(
             (entry.revision, identity)
             for identity, entry in entries.items()
             if entry.payload is None
         )
-        for revision, identity in ended[:-_MOST_ENDED]:
+        for revision, identity in deleted[:-_MAX_DELETED]:
             entries.pop(identity)
-            self._whole_below = max(self._whole_below, revision)
+            self._complete_from = max(self._complete_from, revision)
         self._replica = Replica(self.revision, entries)
--- a/crankchute/core/server_list_test.py
+++ b/crankchute/core/server_list_test.py
@@ -1,4 +1,4 @@
-"""Tests of the list of servers that instances pass on."""
+"""Tests of the server list that instances pass on."""
 
 import pytest
 
@@ -15,7 +15,7 @@
     return servers
 
 
-def test_list_without_entries_has_the_revision_it_was_read_at():
+def test_empty_list_has_the_revision_at_which_it_was_read():
     servers = ServerList()
     servers.take_all({}, 7)
     assert servers.revision == 7
@@ -23,43 +23,43 @@
 
 
 @pytest.mark.parametrize(
-    ('since', 'whole', 'keys'),
+    ('since', 'is_whole', 'keys'),
     [
-        # Below the first list it is unknown what came and went.
+        # Deletions before the first list are unknown.
         (0, True, {'a', 'b', 'c'}),
         (4, True, {'a', 'b', 'c'}),
         (5, False, {'a', 'c'}),
         (6, False, {'c'}),
     ],
 )
-def test_who_lacks_little_gets_only_that(since, whole, keys):
+def test_only_missing_changes_are_passed_on(since, is_whole, keys):
     servers = make_list(a=3, b=5)
     servers.take(ChangeSet(5, 6, {'a': Entry(6, None)}))
     servers.take(ChangeSet(6, 8, {'c': Entry(8, PAYLOAD)}))
     changes = servers.changes_since(since)
-    assert (changes.since == 0) == whole
+    assert (changes.since == 0) == is_whole
     assert set(changes.entries) == keys
     assert changes.revision == 8
 
 
-def test_newest_list_lacks_nothing():
+def test_current_list_lacks_no_changes():
     servers = make_list(a=3)
     assert servers.changes_since(3) is None
     assert servers.changes_since(4) is None
 
 
-def test_older_changes_change_nothing():
+def test_older_changes_are_ignored():
     servers = make_list(a=3, b=5)
     servers.take(ChangeSet(0, 4, {'a': Entry(4, None)}))
     assert servers.revision == 5
     assert servers.changes_since(0).entries['a'].payload is not None
 
 
-def test_only_so_many_ends_are_kept():
+def test_number_of_deleted_entries_is_bounded():
     servers = make_list(a=1)
     for revision in range(2, 602):
-        ended = {f'gone-{revision}': Entry(revision, None)}
-        servers.take(ChangeSet(revision - 1, revision, ended))
+        deleted = {f'gone-{revision}': Entry(revision, None)}
+        servers.take(ChangeSet(revision - 1, revision, deleted))
     changes = servers.changes_since(5)
     assert changes.since == 0
     assert len(changes.entries) == 1 + 512
@@ -70,13 +70,13 @@
     ('revision', 'age_ms'),
     [(5, 40), (4, None), (6, None)],
 )
-def test_only_the_revision_that_is_here_is_proved(revision, age_ms):
+def test_proof_counts_only_for_the_current_revision(revision, age_ms):
     servers = make_list(a=5)
     servers.prove(revision, 60)
     assert servers.proof_age_ms(100) == age_ms
 
 
-def test_proofs_never_age_by_an_older_one():
+def test_older_proof_does_not_replace_a_newer_one():
     servers = make_list(a=5)
     servers.prove(5, 60)
     servers.prove(5, 20)
