--- a/crankchute/core/server_notice.py
+++ b/crankchute/core/server_notice.py
@@ -1,22 +1,21 @@
-"""What a backend server says of itself in an answer, whatever was asked.
+"""What a backend server says about itself in any of its answers.
 
-The load that this answers: a server leaves, or is overrun, while the store that
-would tell of it is away, or tells seconds later.  Its answers tell at once, and
-tell whoever asks; so what they say goes by the server, not by the request that
-was answered.
+The store reports a leaving or overloaded server late, or not at all while it is
+unavailable.  The server's own answers say so at once, whatever the request was,
+so notices are recorded for the server and not for the request.
 """
 
 
 class ServerNotice:
-    """A server's word about the requests that it wants from now on.
+    """The part of an answer that says which requests a server accepts.
 
     Attributes:
-      is_leaving: Whether it leaves, and wants no new request, a bool.
-      rest_ms: For how long from now on it wants nothing from this instance,
-        in milliseconds; 0 if it said nothing of that.
-      names_limit: Whether it names a limit, readable or not, a bool.
-      limit: How many requests a second it takes from all instances together,
-        a float, or None if it names none or what it names is no number.
+      is_leaving: Whether it is leaving and accepts no new requests, a bool.
+      rest_ms: For how long it asks this instance to send no requests, in
+        milliseconds; 0 if it doesn't.
+      names_limit: Whether it names a limit, valid or not, a bool.
+      limit: The requests a second that it accepts from all instances together,
+        a float, or None if it names no valid limit.
     """
 
     __slots__ = ('is_leaving', 'limit', 'names_limit', 'rest_ms')
@@ -27,8 +26,8 @@
         Args:
           is_leaving: See the class.
           rest_ms: See the class.
-          limits: What it names as its limit, floats, and None for each that
-            is no number; of several the least counts.
+          limits: The limits in the answer, floats, and None for each that is
+            not a number; the smallest one counts.
         """
         self.is_leaving = is_leaving
         self.rest_ms = rest_ms
@@ -40,15 +39,15 @@
 
     @property
     def says_anything(self):
-        """Whether the server said anything of itself, a bool."""
+        """Whether the answer had any of these fields, a bool."""
         return self.is_leaving or bool(self.rest_ms) or self.names_limit
 
 
 class ServerNotices:
-    """Takes what servers say of themselves, and counts what they are sent."""
+    """Applies notices of servers, and counts the requests sent to them."""
 
     def __init__(self, fleet, journal, limits):
-        """Create the part.
+        """Create the handler.
 
         Args:
           fleet: The ForwardFleet.
@@ -61,7 +60,7 @@
         self._turns = limits.turns
 
     def note_sent(self, backend):
-        """Count a call of a server, whatever it is.
+        """Count a request of any kind against the server's limit.
 
         Args:
           backend: The Backend.
@@ -69,32 +68,33 @@
         self._turns.note_sent(backend.identity)
 
     def take(self, backend, notice, sent_ms):
-        """Take a server's word.
+        """Apply a notice.
 
         Args:
-          backend: The Backend that was asked.
+          backend: The Backend that answered.
           notice: Its ServerNotice.
-          sent_ms: When it was asked, on this process's clock.
+          sent_ms: When the request was sent, on this process's clock.
         """
         if notice.says_anything or self._limits.limit_of(backend.identity):
-            self._log_news(backend, notice)
+            self._log_changes(backend, notice)
         if notice.is_leaving:
-            # The store may be away, and hear of it 12 s later.
+            # The store may say so many seconds later.
             self._fleet.note_drained(backend.identity)
         if notice.rest_ms:
-            # It seems idle, and would be chosen before all others.
-            self._let_rest(backend.identity, notice.rest_ms)
-        # It goes on until an answer without it; what is no number tells neither.
+            # The server looks idle, so it would be preferred to all others.
+            self._pause(backend.identity, notice.rest_ms)
+        # A limit ends with an answer that names none; an invalid one neither
+        # sets nor ends it.
         if notice.limit is not None or not notice.names_limit:
             self._limits.take(backend.identity, notice.limit, sent_ms)
 
-    def _log_news(self, backend, notice):
-        """Log a word, unless it is the limit that is known already."""
+    def _log_changes(self, backend, notice):
+        """Log a notice, unless it only repeats the known limit."""
         is_known = notice.limit == self._limits.limit_of(backend.identity)
         if notice.is_leaving or notice.rest_ms or not is_known:
             self._journal.log_notice(backend, notice)
 
-    def _let_rest(self, identity, rest_ms):
+    def _pause(self, identity, rest_ms):
         until_ms = self._fleet.rests.note(identity, rest_ms)
         listed = self._fleet.get(identity)
         if listed is not None:
