--- a/crankchute/core/server_rests.py
+++ b/crankchute/core/server_rests.py
@@ -1,19 +1,19 @@
-"""Until when servers want no request from this instance.
+"""Pauses that overloaded servers ask this instance for.
 
-The load that this answers: a server that is overrun turns requests away and
-names a time.  It has nothing of ours then, so it looks like the idlest of all;
-and its entry may lapse and be back before that time is over, while the store is
-away.
+An overloaded server rejects requests and names a time.  It then has none of
+this instance's requests and looks idle, so the pause must be enforced.  It is
+kept apart from the server's entry, which may expire and return within the pause
+while the store is unavailable.
 """
 
 
 class ServerRests:
-    """When the rest of each server ends that asked for one."""
+    """The end of the pause of each server that asked for one."""
 
     __slots__ = ('_clock', '_until_ms')
 
     def __init__(self, clock):
-        """Create without a server that rests.
+        """Create an empty collection.
 
         Args:
           clock: A Clock.
@@ -22,30 +22,28 @@
         self._until_ms = {}
 
     def note(self, identity, rest_ms):
-        """Note that a server wants nothing for a while.
+        """Record a pause; it never shortens the one on record.
 
-        A longer rest is not shortened: of two answers the one that comes later
-        may be the older one.
+        Answers may arrive out of order, so a later one may be the older.
 
         Args:
-          identity: The server's id.
-          rest_ms: For how long from now on, in milliseconds.
+          identity: The server's identity.
+          rest_ms: The length of the pause from now on, in milliseconds.
         Returns:
-          Until when, on this process's clock.
+          The end of the pause, on this process's clock.
         """
         self.keep(identity, self._clock.now_ms() + rest_ms)
         return self.until_ms(identity)
 
     def keep(self, identity, until_ms):
-        """Note until when a server wants nothing; none is made shorter.
+        """Record the end of a pause; it never shortens the one on record.
 
         Args:
-          identity: The server's id.
-          until_ms: A moment on this process's clock.
+          identity: The server's identity.
+          until_ms: A time on this process's clock.
         """
         now_ms = self._clock.now_ms()
         until_ms = max(until_ms, self.until_ms(identity))
-        # What is over is forgotten, so that this stays small.
         self._until_ms = {
             one: end_ms
             for one, end_ms in self._until_ms.items()
@@ -55,9 +53,9 @@
             self._until_ms[identity] = until_ms
 
     def until_ms(self, identity):
-        """Return until when a server wants nothing, 0 if it did not ask.
+        """Return the end of a server's pause, 0 if none is on record.
 
         Args:
-          identity: The server's id.
+          identity: The server's identity.
         """
         return self._until_ms.get(identity, 0)
