--- a/bench/ablations.py
+++ b/bench/ablations.py
@@ -137,7 +137,7 @@
 _leave_out(
     'suspicion',
     f'{_CORE}/suspicion.py',
-    'return failures / (failures + successes + _UNSEEN)',
+    'return failures / (failures + successes + _PRIOR_SUCCESSES)',
     'return 0 * (failures + successes)',
 )
 _leave_out(
--- a/crankchute/core/suspicion_test.py
+++ b/crankchute/core/suspicion_test.py
@@ -1,4 +1,4 @@
-"""Tests of what is thought of a backend server."""
+"""Tests of the estimated failure rate of a backend server."""
 
 import pytest
 
@@ -20,7 +20,7 @@
 
 
 @pytest.mark.parametrize(
-    ('failures', 'successes', 'heard', 'age_ms', 'chance'),
+    ('failures', 'successes', 'received', 'age_ms', 'rate'),
     [
         (0, 0, None, 0, 0),
         (0, 9, None, 0, 0),
@@ -34,27 +34,27 @@
         (3, 0, (3, 3), 60_000, 0),
     ],
 )
-def test_chance_is_the_part_that_failed(
-    failures, successes, heard, age_ms, chance
+def test_estimate_is_the_decayed_failure_rate(
+    failures, successes, received, age_ms, rate
 ):
     suspicion = Suspicion()
     for _ in range(failures):
         suspicion.note_failure(0)
     for _ in range(successes):
         suspicion.note_success(0)
-    if heard is not None:
-        suspicion.hear('another', Signs(*heard, 0))
-    assert round(suspicion.chance(age_ms), 2) == chance
+    if received is not None:
+        suspicion.hear('another', Signs(*received, 0))
+    assert round(suspicion.chance(age_ms), 2) == rate
 
 
-def test_only_own_signs_are_told():
+def test_own_counts_exclude_those_of_other_instances():
     suspicion = Suspicion()
     suspicion.hear('another', Signs(3, 0, 0))
     assert not suspicion.own_signs(0).failures
 
 
 @pytest.mark.parametrize('chooser_class', [LeastBusyChooser, EngineChooser])
-def test_server_that_failed_another_is_avoided(chooser_class):
+def test_server_that_failed_for_another_instance_is_avoided(chooser_class):
     timers = ManualTimers()
     backends = make_backends(3)
     chooser = chooser_class(make_parts(timers, lambda: backends))
@@ -66,10 +66,10 @@
     assert chooser.choose(job, set()).backend is first
 
 
-def test_server_that_loses_few_answers_is_no_reason_for_a_crowd():
-    """Some engines lost one answer in twenty; all of them are used.
+def test_low_failure_rate_does_not_overload_the_others():
+    """Engines that lose one answer in twenty must still get requests.
 
-    With short prompts alone, one engine of eight stays kept for long ones.
+    One engine of eight is reserved for long prompts and gets no short ones.
     """
     timers = ManualTimers()
     backends = make_backends(8)
@@ -87,7 +87,7 @@
 
 
 @pytest.mark.parametrize('chooser_class', [LeastBusyChooser, EngineChooser])
-def test_last_server_is_never_forbidden(chooser_class):
+def test_failing_servers_are_chosen_if_there_is_no_other(chooser_class):
     backends = make_backends(2)
     for backend in backends:
         backend.suspicion.hear('another', Signs(9, 0, 0))
@@ -103,7 +103,7 @@
         (lambda listener: _answer(listener, 200), 0),
     ],
 )
-def test_ends_of_attempts_are_signs(end, failures):
+def test_outcomes_of_attempts_are_counted(end, failures):
     world = ForwardWorld()
     world.submit()
     call = world.port.calls[0]
