--- a/bench/ablations.py
+++ b/bench/ablations.py
@@ -137,7 +137,7 @@
 _leave_out(
     'suspicion',
     f'{_CORE}/suspicion.py',
-    'return failures / (failures + successes + _UNSEEN)',
+    'return failures / (failures + successes + _PRIOR_SUCCESSES)',
     'return 0 * (failures + successes)',
 )
 _leave_out(
@@ -149,7 +149,7 @@
 _leave_out(
     'breaker',
     f'{_CORE}/breaker.py',
-    'return not self._trial and now_ms >= self._retry_at_ms',
+    'return not self._has_trial and now_ms >= self._retry_at_ms',
     'return now_ms > 0',
 )
 _leave_out(
--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -268,15 +268,15 @@
         'an answer that crossed ends a limit',
         'crankchute/core/server_limits_test.py',
         'crankchute/core/server_limits.py',
-        'if word.loosens(known) and sent_ms < known.at_ms:',
-        'if word.loosens(known) and known is None:',
+        'if report.loosens(known) and sent_ms < known.at_ms:',
+        'if report.loosens(known) and known is None:',
     ),
     Mutation(
         'a word grows younger on its way',
         'crankchute/core/server_limits_test.py',
         'crankchute/core/server_limits.py',
-        'if word.source == known.source:',
-        'if word is known:',
+        'if report.source == known.source:',
+        'if report is known:',
     ),
     Mutation(
         'orders and questions do not count',
@@ -331,8 +331,8 @@
         'attempts after an end count for one with it',
         'crankchute/core/crash_blame_test.py',
         'crankchute/core/crash_blame.py',
-        'if not ends or begun_ms > last_ms:',
-        'if not ends:',
+        'if not count or begun_ms > last_ms:',
+        'if not count:',
     ),
 )
 
