--- a/bench/ablations.py
+++ b/bench/ablations.py
@@ -173,7 +173,7 @@
 _leave_out(
     'retries of 500',
     f'{_CORE}/forward_flow.py',
-    'may_repeat = is_fault and self.job.may_repeat',
+    'may_repeat = is_server_error and self.job.may_repeat',
     'may_repeat = False',
 )
 
