--- a/bench/crash_ways.py
+++ b/bench/crash_ways.py
@@ -13,7 +13,7 @@
 
 from bench.model_desk import make_plain_desk
 from crankchute.core.crash_blame import blames
-from crankchute.core.crash_ledger import CrashLedger
+from crankchute.core.crash_ledger import CrashHistory
 from crankchute.core.fakes import ManualTimers
 from crankchute.core.forward_fakes import (
     FakeSink,
@@ -67,7 +67,9 @@
         runs = self.runs
         self.runs = {}
         for run in runs:
-            run.listener.on_failed(BackendError('closed', sent=True, cut=True))
+            run.listener.on_failed(
+                BackendError('closed', sent=True, connection_lost=True)
+            )
 
 
 class Run:
@@ -156,7 +158,7 @@
         self.refused = 0
         self.others = 0
         self._third_ms = {}
-        self._ledgers = []
+        self._histories = []
         self._desks = [self._make_desk(blame) for _ in range(_INSTANCES)]
 
     def play(self):
@@ -211,7 +213,7 @@
         if runs:
             run = self.random.choice(runs)
             run.cancel()
-            exc = BackendError('closed', sent=True, cut=True)
+            exc = BackendError('closed', sent=True, connection_lost=True)
             run.listener.on_failed(exc)
 
     def _ask(self, fingerprint, tries=2):
@@ -238,17 +240,17 @@
             self.timers.after(6, again)
 
     def _make_desk(self, blame):
-        make_ledger = _Forgetful if blame == _NOBODY else CrashLedger
-        ledger = make_ledger(self.timers.clock.now_ms, blame=blames[blame])
-        self._ledgers.append(ledger)
-        ledger.subscribe(partial(self._tell_all, ledger))
+        make_history = _Forgetful if blame == _NOBODY else CrashHistory
+        history = make_history(self.timers.clock.now_ms, blame=blames[blame])
+        self._histories.append(history)
+        history.subscribe(partial(self._tell_all, history))
         parts = make_parts(self.timers, lambda: list(self.backends))
         parts.random = self.random
         hints = ReturnHints(self.random)
-        return make_plain_desk(self.port, parts, hints, ledger)
+        return make_plain_desk(self.port, parts, hints, history)
 
     def _tell_all(self, teller):
-        for other in self._ledgers:
+        for other in self._histories:
             if other is not teller:
                 self.timers.after(
                     _WAY_MS,
@@ -256,11 +258,11 @@
                 )
 
 
-class _Forgetful(CrashLedger):
+class _Forgetful(CrashHistory):
     """Remembers nothing: no request is a suspect, whatever ended."""
 
     def note_crash(self, server, at_ms, requests, begun_ms=None):
-        """See CrashLedger."""
+        """See CrashHistory."""
 
 
 class _Sink(FakeSink):
@@ -277,7 +279,7 @@
 
 
 def _tell(teller, other):
-    other.take(teller.tell())
+    other.merge_report(teller.make_report())
 
 
 def main():
--- a/bench/limit_ways.py
+++ b/bench/limit_ways.py
@@ -257,14 +257,14 @@
     def _hear(self, server, sent_ms):
         if self.hears:
             limit = self.world.limit_of(server)
-            self.limits.words.take(server, limit, sent_ms)
+            self.limits.words.receive_answer(server, limit, sent_ms)
 
     def _tell_soon(self):
         self.world.timers.after(_WAY_MS, self._tell)
 
     def _tell(self):
         for one in self.world.reached_by(self):
-            one.limits.words.hear(self.limits.words.tell())
+            one.limits.words.merge_updates(self.limits.words.list_updates())
 
     def _finish(self, server, listener):
         self.world.running[server] -= 1
--- a/bench/model_desk.py
+++ b/bench/model_desk.py
@@ -1,7 +1,7 @@
 """What the models of ways to deal with servers have in common."""
 
 from crankchute.core.choosers import LEAST_BUSY, choosers
-from crankchute.core.crash_ledger import CrashLedger
+from crankchute.core.crash_ledger import CrashHistory
 from crankchute.core.forward_desk import ForwardDesk, ForwardPorts
 from crankchute.core.forward_fakes import POOL, FakeJournal, FakeSink
 from crankchute.core.sliding_budget import RetryLimits
@@ -40,18 +40,18 @@
         self._on_end(refusal)
 
 
-def make_plain_desk(port, parts, hints, ledger=None):
+def make_plain_desk(port, parts, hints, history=None):
     """Return the ForwardDesk of an instance with one pool of plain servers.
 
     Args:
       port: A ForwardPort.
       parts: The ChooserParts of the pool.
       hints: The ReturnHints of callers that some server turned away.
-      ledger: A CrashLedger, or None for one that nobody tells anything.
+      history: A CrashHistory, or None for one that nobody tells anything.
     """
     timers = parts.timers
-    if ledger is None:
-        ledger = CrashLedger(timers.clock.now_ms)
+    if history is None:
+        history = CrashHistory(timers.clock.now_ms)
     ports = ForwardPorts(
         forward=port,
         timers=timers,
@@ -59,7 +59,7 @@
         journal=FakeJournal(),
         reservations=None,
         hints=hints,
-        crashes=ledger,
+        crashes=history,
         note_moved=None,
         chooser_of={POOL: choosers[LEAST_BUSY](parts)}.get,
     )
--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -233,7 +233,7 @@
         'servers that want rest are asked',
         'crankchute/platform/resting_servers_test.py',
         'crankchute/core/choosers.py',
-        'now_ms >= backend.refused_until_ms',
+        'now_ms >= backend.paused_until_ms',
         'True',
     ),
     Mutation(
@@ -310,8 +310,8 @@
         'a rest ends with an entry that lapses',
         'crankchute/core/server_rests_test.py',
         'crankchute/core/forward_fleet.py',
-        'backend.leave_alone(self.rests.until_ms(listed.identity))',
-        'backend.leave_alone(0)',
+        'backend.pause_until(self.rests.until_ms(listed.identity))',
+        'backend.pause_until(0)',
     ),
     Mutation(
         'revisions of an older copy are compared as they are',
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -13,7 +13,7 @@
 
 from bench.pass_engines import FreeMemory, PassEngines
 from crankchute.core.choosers import choosers
-from crankchute.core.crash_ledger import CrashLedger
+from crankchute.core.crash_ledger import CrashHistory
 from crankchute.core.engine_board import EngineBoard
 from crankchute.core.engine_chooser import PREDICTED, EngineChooser
 from crankchute.core.fakes import ManualTimers
@@ -211,7 +211,7 @@
             journal=journal,
             reservations=reservations,
             hints=parts.hints,
-            crashes=CrashLedger(self.timers.clock.now_ms),
+            crashes=CrashHistory(self.timers.clock.now_ms),
             note_moved=None,
             chooser_of={POOL: chosen}.get,
         )
--- a/bench/rest_ways.py
+++ b/bench/rest_ways.py
@@ -52,24 +52,24 @@
       end_ms: When it ends.
       servers: How many servers it takes, the first of the list.
       part: Which part of the requests they turn away.
-      rest_ms: For how long they want nothing.
+      pause_ms: For how long they want nothing.
     """
 
-    __slots__ = ('begin_ms', 'end_ms', 'part', 'rest_ms', 'servers')
+    __slots__ = ('begin_ms', 'end_ms', 'part', 'pause_ms', 'servers')
 
-    def __init__(self, begin_ms, end_ms, servers, *, part, rest_ms):
+    def __init__(self, begin_ms, end_ms, servers, *, part, pause_ms):
         """Create the spell."""
         self.begin_ms = begin_ms
         self.end_ms = end_ms
         self.servers = servers
         self.part = part
-        self.rest_ms = rest_ms
+        self.pause_ms = pause_ms
 
 
 _SPELLS = (
-    Spell(5000, 11_000, 2, part=0.9, rest_ms=3000),
-    Spell(20_000, 22_000, _SERVERS, part=1, rest_ms=1000),
-    Spell(30_000, 40_000, 6, part=0.5, rest_ms=2000),
+    Spell(5000, 11_000, 2, part=0.9, pause_ms=3000),
+    Spell(20_000, 22_000, _SERVERS, part=1, pause_ms=1000),
+    Spell(30_000, 40_000, 6, part=0.5, pause_ms=2000),
 )
 
 
@@ -79,33 +79,33 @@
 
 
 @ways.register(BY_REST)
-def leave_alone(world, instance, place, rest_ms):
+def leave_alone(world, instance, place, pause_ms):
     """Send nothing from the instance that was turned away."""
     backend = world.fleets[instance][place]
-    backend.leave_alone(world.timers.clock.now_ms() + rest_ms)
+    backend.pause_until(world.timers.clock.now_ms() + pause_ms)
 
 
 @ways.register('rest and suspicion')
-def leave_alone_and_suspect(world, instance, place, rest_ms):
+def leave_alone_and_suspect(world, instance, place, pause_ms):
     """Count it as a failure as well, which fades by half in 3 s."""
-    leave_alone(world, instance, place, rest_ms)
+    leave_alone(world, instance, place, pause_ms)
     backend = world.fleets[instance][place]
     backend.suspicion.note_failure(world.timers.clock.now_ms())
 
 
 @ways.register('rest, all suspect')
-def leave_alone_and_warn(world, instance, place, rest_ms):
+def leave_alone_and_warn(world, instance, place, pause_ms):
     """Count it as a failure at all instances, as they tell each other."""
-    leave_alone(world, instance, place, rest_ms)
+    leave_alone(world, instance, place, pause_ms)
     for fleet in world.fleets:
         fleet[place].suspicion.note_failure(world.timers.clock.now_ms())
 
 
 @ways.register('rest at all instances')
-def leave_alone_everywhere(world, _instance, place, rest_ms):
+def leave_alone_everywhere(world, _instance, place, pause_ms):
     """Send nothing from anywhere."""
     for instance in range(_INSTANCES):
-        leave_alone(world, instance, place, rest_ms)
+        leave_alone(world, instance, place, pause_ms)
 
 
 class Servers(ForwardPort):
@@ -149,9 +149,9 @@
     def _turn_away(self, place, spell, listener):
         now_ms = self._world.timers.clock.now_ms()
         if now_ms >= self._wants_ms.get(place, (0, 0, 0))[1]:
-            until_ms = now_ms + spell.rest_ms
+            until_ms = now_ms + spell.pause_ms
             self._wants_ms[place] = (now_ms + _KNOWN_MS, until_ms, 0)
-        self._world.take_wish(self._instance, place, spell.rest_ms)
+        self._world.take_wish(self._instance, place, spell.pause_ms)
         listener.on_not_run(Rejection('full'))
 
 
@@ -210,9 +210,9 @@
                 return spell
         return None
 
-    def take_wish(self, instance, place, rest_ms):
+    def take_wish(self, instance, place, pause_ms):
         """Let an instance take a server's wish in the way of this world."""
-        self._take(self, instance, place, rest_ms)
+        self._take(self, instance, place, pause_ms)
 
     def _ask(self, deadline_ms, tries):
         job = make_job(
--- a/crankchute/adapters/crash_records.py
+++ b/crankchute/adapters/crash_records.py
@@ -3,8 +3,8 @@
 from crankchute.core.crash_news import (
     ClearedRequest,
     Crash,
-    CrashNews,
-    HeldRequest,
+    CrashReport,
+    QuarantinedRequest,
 )
 from crankchute.proto import peer_pb2
 
@@ -13,10 +13,10 @@
 
 
 def write_crashes(news, now_ms):
-    """Return the message of CrashNews, or None; times are told as ages.
+    """Return the message of CrashReport, or None; times are told as ages.
 
     Args:
-      news: CrashNews or None.
+      news: CrashReport or None.
       now_ms: The time on this process's clock.
     """
     if news is None:
@@ -29,7 +29,7 @@
                 held_age_ms=now_ms - one.held_ms,
                 asked_age_ms=now_ms - one.asked_ms,
             )
-            for one in news.held
+            for one in news.quarantined
         ],
         cleared=[
             peer_pb2.ClearedRecord(
@@ -42,7 +42,7 @@
 
 
 def read_crashes(record, now_ms):
-    """Return the CrashNews of a message that may hold some, or None.
+    """Return the CrashReport of a message that may hold some, or None.
 
     Args:
       record: A Briefing or Gossip message.
@@ -51,10 +51,10 @@
     if not record.HasField('crashes'):
         return None
     news = record.crashes
-    return CrashNews(
+    return CrashReport(
         [_read_crash(one, now_ms) for one in news.crashes],
         [
-            HeldRequest(
+            QuarantinedRequest(
                 one.fingerprint,
                 now_ms - one.held_age_ms,
                 now_ms - one.asked_age_ms,
--- a/crankchute/adapters/engine_http.py
+++ b/crankchute/adapters/engine_http.py
@@ -52,7 +52,9 @@
         """See ResponseSink; a whole stream ended by its mark before this."""
         if self._status == HTTPStatus.OK:
             text = 'the stream ended without its mark'
-            self._listener.on_failed(BackendError(text, sent=True, cut=True))
+            self._listener.on_failed(
+                BackendError(text, sent=True, connection_lost=True)
+            )
         elif self._status == HTTPStatus.CONFLICT:
             refusal = orjson.loads(b''.join(self._body))
             retry_after_ms = refusal['retry_after_ms']
--- a/crankchute/adapters/forward_journal.py
+++ b/crankchute/adapters/forward_journal.py
@@ -129,7 +129,7 @@
             'server_said',
             server=backend.identity,
             leaving=notice.is_leaving,
-            rest_ms=_round(notice.rest_ms),
+            rest_ms=_round(notice.pause_ms),
             names_limit=notice.names_limit,
             limit=notice.limit,
         )
--- a/crankchute/adapters/http_client.py
+++ b/crankchute/adapters/http_client.py
@@ -152,7 +152,7 @@
         if self._until_close and not broken:
             self._complete(keep=False)
         else:
-            self.fail(_CLOSED, cut=True)
+            self.fail(_CLOSED, connection_lost=True)
 
     def cancel(self):
         """Give the call up and close its connection; the sink hears nothing."""
@@ -160,17 +160,21 @@
             self._finished = True
             self._client.detach(self, keep=False)
 
-    def fail(self, text, *, cut=False):
+    def fail(self, text, *, connection_lost=False):
         """End the call with an error.
 
         Args:
           text: What happened.
-          cut: Whether the other side, or the network, ended the connection.
+          connection_lost: Whether the other side, or the network, ended the connection.
         """
         if not self._finished:
             self._finished = True
             self._client.detach(self, keep=False)
-            self._sink.on_error(BackendError(text, sent=self._sent, cut=cut))
+            self._sink.on_error(
+                BackendError(
+                    text, sent=self._sent, connection_lost=connection_lost
+                )
+            )
 
     def on_message_begin(self):
         """Parser callback: a response starts; a second one is one too many."""
--- a/crankchute/adapters/http_test.py
+++ b/crankchute/adapters/http_test.py
@@ -78,7 +78,7 @@
     bench = _Bench(lambda exchange: exchange.abort())
     lost = bench.ask()
     assert lost.sent is True
-    assert lost.cut
+    assert lost.connection_lost
 
 
 @pytest.mark.parametrize('is_listening', [True, False])
--- a/crankchute/adapters/peer_records.py
+++ b/crankchute/adapters/peer_records.py
@@ -10,8 +10,8 @@
 from crankchute.core.engine_board import Change, Work
 from crankchute.core.membership import Member
 from crankchute.core.replica import ChangeSet, Entry
-from crankchute.core.server_limits import LimitWord
-from crankchute.core.suspicion import Signs
+from crankchute.core.server_limits import AdvertisedLimit
+from crankchute.core.suspicion import OutcomeCounts
 from crankchute.proto import peer_pb2
 
 _MEMBER_FIELDS = Member.__slots__
@@ -154,7 +154,7 @@
 
 
 def _read_impression(record, now_ms):
-    signs = Signs(record.failures, record.successes, now_ms)
+    signs = OutcomeCounts(record.failures, record.successes, now_ms)
     return Impression(record.server, signs)
 
 
@@ -168,7 +168,7 @@
 
 
 def _read_limit(record, now_ms):
-    return LimitWord(
+    return AdvertisedLimit(
         record.server,
         None if record.limit < 0 else record.limit,
         now_ms - record.age_ms,
--- a/crankchute/adapters/peer_records_test.py
+++ b/crankchute/adapters/peer_records_test.py
@@ -12,13 +12,13 @@
 from crankchute.core.crash_news import (
     ClearedRequest,
     Crash,
-    CrashNews,
-    HeldRequest,
+    CrashReport,
+    QuarantinedRequest,
 )
 from crankchute.core.engine_board import Change, EngineBoard
 from crankchute.core.engine_fakes import make_work
 from crankchute.core.membership import Member
-from crankchute.core.server_limits import LimitWord
+from crankchute.core.server_limits import AdvertisedLimit
 from crankchute.core.work_feed import apply_batch
 from crankchute.proto import peer_pb2
 
@@ -37,9 +37,9 @@
         gone=[],
         impressions=[],
         limits=[
-            LimitWord('i-1', 2.5, OWN_MS - 300, 'entry-0-1'),
-            LimitWord('i-2', 0, OWN_MS, 'entry-0-2'),
-            LimitWord('i-3', None, OWN_MS - 900, 'entry-1-1'),
+            AdvertisedLimit('i-1', 2.5, OWN_MS - 300, 'entry-0-1'),
+            AdvertisedLimit('i-2', 0, OWN_MS, 'entry-0-2'),
+            AdvertisedLimit('i-3', None, OWN_MS - 900, 'entry-1-1'),
         ],
         active=[Member('a', 'b', 3, strength=516, data_centre='z')],
         batch=WorkBatch(4, news, is_whole=is_whole),
@@ -131,16 +131,16 @@
 def test_crashes_arrive_on_the_clock_of_the_receiver():
     briefing = make_briefing([])
     briefing.crash_digest = 2**64 - 1
-    briefing.crashes = CrashNews(
+    briefing.crashes = CrashReport(
         [Crash('s1', OWN_MS - 900, {1, 2**64 - 1}, {1: OWN_MS - 950})],
-        [HeldRequest(3, OWN_MS - 800, OWN_MS - 20)],
+        [QuarantinedRequest(3, OWN_MS - 800, OWN_MS - 20)],
         [ClearedRequest(4, OWN_MS - 700)],
     )
     heard = pass_on(briefing)
     assert heard.crash_digest == briefing.crash_digest
     crash, held, cleared = (
         heard.crashes.crashes[0],
-        heard.crashes.held[0],
+        heard.crashes.quarantined[0],
         heard.crashes.cleared[0],
     )
     assert (crash.server, crash.at_ms) == ('s1', THEIR_MS - 900)
--- a/crankchute/adapters/service_http.py
+++ b/crankchute/adapters/service_http.py
@@ -61,5 +61,5 @@
 
 
 def _read_rejection(headers):
-    rest_ms = read_retry_after_ms(headers.get('retry-after'))
-    return Rejection('backend_refused', retry_after_ms=rest_ms or None)
+    pause_ms = read_retry_after_ms(headers.get('retry-after'))
+    return Rejection('backend_refused', retry_after_ms=pause_ms or None)
--- a/crankchute/adapters/service_http_test.py
+++ b/crankchute/adapters/service_http_test.py
@@ -57,7 +57,7 @@
     world.desk.port = HttpServices(FakeClient(503, headers))
     flow, _sink = world.submit(payload=make_call())
     assert flow.ended
-    assert world.backends[0].refused_until_ms == until_ms
+    assert world.backends[0].paused_until_ms == until_ms
     before = len(world.desk.port._client.asked)
     world.submit(payload=make_call())
     is_asked = len(world.desk.port._client.asked) > before
--- a/crankchute/core/attempt_desk.py
+++ b/crankchute/core/attempt_desk.py
@@ -31,7 +31,7 @@
         return flow.job.deadline_ms
 
     def note_load(self, flow, attempt, load):
-        """Record the SeenLoad that a server reported with its answer."""
+        """Record the ReportedLoad that a server reported with its answer."""
 
     def note_attempt_end(self, flow, attempt, cause):
         """Record the end of an attempt and its cause."""
--- a/crankchute/core/briefing.py
+++ b/crankchute/core/briefing.py
@@ -48,7 +48,7 @@
 
     Attributes:
       server: The server's id.
-      signs: The Signs of those requests.
+      signs: The OutcomeCounts of those requests.
     """
 
     __slots__ = ('server', 'signs')
@@ -58,7 +58,7 @@
 
         Args:
           server: A string.
-          signs: Signs.
+          signs: OutcomeCounts.
         """
         self.server = server
         self.signs = signs
@@ -91,7 +91,7 @@
       batch: A WorkBatch.
       crash_digest: A hash that identifies the crashes that the sender
         remembers.
-      crashes: CrashNews, or None if the receiver last reported the same
+      crashes: CrashReport, or None if the receiver last reported the same
         digest.
     """
 
--- a/crankchute/core/candidates.py
+++ b/crankchute/core/candidates.py
@@ -148,7 +148,7 @@
     load = backend.load
     if load is None or backend.is_leaving:
         return False
-    if now_ms - load.at_ms > SILENT_MS or now_ms < backend.refused_until_ms:
+    if now_ms - load.at_ms > SILENT_MS or now_ms < backend.paused_until_ms:
         return False
     return model in backend.models and backend.breaker.allows(now_ms)
 
--- a/crankchute/core/choosers.py
+++ b/crankchute/core/choosers.py
@@ -195,7 +195,7 @@
 
         Args:
           backend: A Backend.
-          load: A SeenLoad.
+          load: A ReportedLoad.
         """
 
     def note_report(self, backend, load):
@@ -229,13 +229,13 @@
         return [
             backend
             for backend in members
-            if now_ms >= backend.refused_until_ms
+            if now_ms >= backend.paused_until_ms
             and backend.identity not in avoided
         ]
 
     def _retry_delay_ms(self, backend):
         """Return the time until a server accepts requests of this instance."""
-        pause_ms = backend.refused_until_ms - self.now_ms()
+        pause_ms = backend.paused_until_ms - self.now_ms()
         return max(pause_ms, self._parts.turns.wait_ms(backend.identity))
 
 
@@ -261,7 +261,7 @@
         return attempt.heard_ms + timeout_ms
 
     def _load(self, backend):
-        chance = backend.suspicion.chance(self.now_ms())
+        chance = backend.suspicion.failure_probability(self.now_ms())
         load = backend.in_flight + chance * _FAILURE_PENALTY
         if not self._parts.is_connected(backend):
             load += _CONNECTION_COST
--- a/crankchute/core/choosers_test.py
+++ b/crankchute/core/choosers_test.py
@@ -55,7 +55,7 @@
     chooser = make_chooser(backends, ())
     chooser._parts.timers.advance(500)
     for backend, end_ms in zip(backends, until_ms, strict=True):
-        backend.refused_until_ms = end_ms
+        backend.paused_until_ms = end_ms
         if end_ms <= 500:
             backend.breaker.trip(500)
     choices = [chooser.choose(make_job(), avoided) for _ in range(60)]
@@ -70,11 +70,11 @@
     backends = make_backends(3)
     chooser = make_chooser(backends, ())
     for backend, end_ms in zip(backends, (9000, 2000, 5000), strict=True):
-        backend.refused_until_ms = end_ms
+        backend.paused_until_ms = end_ms
     refusal = chooser.choose(make_job(), set())
     assert refusal.code == 'servers_rest'
     assert 2000 <= refusal.retry_after_ms <= 2500
-    backends[2].refused_until_ms = 0
+    backends[2].paused_until_ms = 0
     refusal = chooser.choose(make_job(), {'server-02'})
     # A server excluded after a failure may accept requests sooner.
     assert (refusal.code, refusal.retry_after_ms) == ('no_backend', None)
--- a/crankchute/core/completion_machine_test.py
+++ b/crankchute/core/completion_machine_test.py
@@ -183,7 +183,7 @@
         for backend in self.fleet:
             assert not backend.in_flight
             assert not backend.pending_tokens
-            assert not backend.serving_long
+            assert not backend.long_prompt_count
         assert not self.engines.held
         account = self.dispatcher.config.accounts['acc']
         assert not self.limits.use_of(account).in_progress
--- a/crankchute/core/crash_blame.py
+++ b/crankchute/core/crash_blame.py
@@ -20,7 +20,7 @@
 #: The name of the function in use; the others are baselines for comparison.
 BY_LEAD = 'lead'
 #: A request is no longer sent once this many crashes are attributed to it.
-#: Users accept three more crashes after the third, so one loss of the ledger
+#: Users accept three more crashes after the third, so one loss of the history
 #: (all instances lose power) stays within that.
 CRASHES_TO_QUARANTINE = 3
 #: Every other request present must have met at least this many crashes fewer.
@@ -36,7 +36,7 @@
 
 
 @blames.register(BY_LEAD)
-def find_culprits(crashes):
+def attribute_by_lead(crashes):
     """Return the requests to which enough crashes are attributed.
 
     Args:
@@ -61,7 +61,7 @@
 
 
 @blames.register('presence')
-def find_present(crashes):
+def attribute_to_all_present(crashes):
     """Return the requests present at enough crashes; a baseline.
 
     Args:
@@ -78,7 +78,7 @@
 
 
 @blames.register('nobody')
-def find_none(_crashes):
+def attribute_to_none(_crashes):
     """Return the empty set; a baseline without attribution."""
     return set()
 
--- a/crankchute/core/crash_blame_test.py
+++ b/crankchute/core/crash_blame_test.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from crankchute.core.crash_blame import find_culprits
+from crankchute.core.crash_blame import attribute_by_lead
 from crankchute.core.crash_news import Crash
 
 CULPRIT = 1
@@ -92,8 +92,8 @@
     ],
 )
 def test_culprits(rows, culprits):
-    assert find_culprits(make_crashes(*rows)) == culprits
-    assert find_culprits(make_crashes(*reversed(rows))) == culprits
+    assert attribute_by_lead(make_crashes(*rows)) == culprits
+    assert attribute_by_lead(make_crashes(*reversed(rows))) == culprits
 
 
 def make_attempts(*rows):
@@ -165,5 +165,5 @@
 
     Otherwise the request crashes more servers before it is quarantined.
     """
-    assert find_culprits(make_attempts(*rows)) == culprits
-    assert find_culprits(make_attempts(*reversed(rows))) == culprits
+    assert attribute_by_lead(make_attempts(*rows)) == culprits
+    assert attribute_by_lead(make_attempts(*reversed(rows))) == culprits
--- a/crankchute/core/crash_ledger.py
+++ b/crankchute/core/crash_ledger.py
@@ -1,11 +1,11 @@
 """An instance's record of server crashes and of the requests behind them.
 
 A request that crashes servers may be retried at any instance, also at one that
-has just started, so instances replicate their ledgers to each other.  A ledger
+has just started, so instances replicate their histories to each other.  A history
 is bounded in size, so that a request that changes with each submission cannot
 fill it, and entries expire some time after their request was last submitted.
 
-Instances exchange whole ledgers when their digests differ.  Merging is
+Instances exchange whole histories when their digests differ.  Merging is
 independent of order: the earliest notice of a crash, the union of the requests
 in progress, the latest answer.  Times are sent as ages, so they shift by the
 delay of the message; a received time counts as later only by a clear margin.
@@ -16,12 +16,12 @@
 
 import xxhash
 
-from crankchute.core.crash_blame import find_culprits
+from crankchute.core.crash_blame import attribute_by_lead
 from crankchute.core.crash_news import (
     ClearedRequest,
     Crash,
-    CrashNews,
-    HeldRequest,
+    CrashReport,
+    QuarantinedRequest,
 )
 
 #: How long crashes, and quarantined requests that are not submitted, are kept.
@@ -41,11 +41,11 @@
 _TIME_MARGIN_MS = 500
 
 
-class CrashLedger:
+class CrashHistory:
     """Recent crashes, quarantined requests, and requests that were cleared."""
 
-    def __init__(self, now_ms, on_quarantined=None, blame=find_culprits):
-        """Create an empty ledger.
+    def __init__(self, now_ms, on_quarantined=None, blame=attribute_by_lead):
+        """Create an empty history.
 
         Args:
           now_ms: A function that returns the time.
@@ -65,13 +65,13 @@
 
     @property
     def digest(self):
-        """A hash of the contents, 0 for an empty ledger."""
+        """A hash of the contents, 0 for an empty history."""
         if self._digest is None:
             self._digest = self._compute_digest()
         return self._digest
 
     @property
-    def held(self):
+    def quarantined(self):
         """A list of the quarantined requests, HeldRequests."""
         return list(self._quarantined.values())
 
@@ -95,7 +95,7 @@
         """
         return self._crash_counts[fingerprint]
 
-    def is_held(self, fingerprint):
+    def is_quarantined(self, fingerprint):
         """Return whether a submitted request is quarantined.
 
         This extends the quarantine, since the request is still submitted.
@@ -136,27 +136,27 @@
             self._update_quarantine()
             self._notify_subscribers()
 
-    def tell(self):
-        """Return the whole contents as CrashNews."""
-        return CrashNews(
+    def make_report(self):
+        """Return the whole contents as CrashReport."""
+        return CrashReport(
             list(self._crashes),
-            self.held,
+            self.quarantined,
             list(self._cleared.values()),
         )
 
-    def take(self, news):
-        """Merge the ledger of another instance.
+    def merge_report(self, report):
+        """Merge the history of another instance.
 
         Args:
-          news: CrashNews.
+          report: CrashReport.
         """
-        for cleared in news.cleared:
+        for cleared in report.cleared:
             own = self._cleared.get(cleared.fingerprint)
             if own is None or _is_later(cleared.at_ms, own.at_ms):
                 self._clear(cleared)
-        for crash in news.crashes:
+        for crash in report.crashes:
             self._merge_crash(crash)
-        for held in news.held:
+        for held in report.quarantined:
             self._merge_quarantined(held)
         self._update_quarantine()
 
@@ -253,14 +253,16 @@
     def _update_quarantine(self):
         """Apply the bounds, then quarantine the requests found as culprits.
 
-        Called once per change, not per record: merging a full ledger would take
+        Called once per change, not per record: merging a full history would take
         several times as long otherwise.
         """
         self.discard_expired()
         now_ms = self._now_ms()
         for fingerprint in self._find_culprits(self._crashes):
             if fingerprint not in self._quarantined:
-                self._quarantine(HeldRequest(fingerprint, now_ms, now_ms))
+                self._quarantine(
+                    QuarantinedRequest(fingerprint, now_ms, now_ms)
+                )
 
     def _quarantine(self, held):
         self._quarantined[held.fingerprint] = held
--- a/crankchute/core/crash_ledger_test.py
+++ b/crankchute/core/crash_ledger_test.py
@@ -1,4 +1,4 @@
-"""Tests of the crash ledger and of its replication between instances."""
+"""Tests of the crash history and of its replication between instances."""
 
 import copy
 from functools import partial
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from crankchute.core.crash_ledger import RETENTION_MS, CrashLedger
+from crankchute.core.crash_ledger import RETENTION_MS, CrashHistory
 from crankchute.core.fakes import ManualClock
 
 CULPRIT = 1
@@ -23,26 +23,26 @@
     def __init__(self, count=1):
         self.clock = ManualClock()
         self.quarantined = []
-        self.ledgers = [
-            CrashLedger(self.clock.now_ms, self._note_quarantined)
+        self.histories = [
+            CrashHistory(self.clock.now_ms, self._note_quarantined)
             for _ in range(count)
         ]
 
     def crash(self, server, *requests, at=0, pause_ms=100):
         self.clock.time_ms += pause_ms
-        self.ledgers[at].note_crash(server, self.clock.time_ms, requests)
+        self.histories[at].note_crash(server, self.clock.time_ms, requests)
 
     def send(self, sender, receiver):
-        news = copy.deepcopy(self.ledgers[sender].tell())
+        news = copy.deepcopy(self.histories[sender].make_report())
         for one in (*news.crashes, *news.cleared):
             one.at_ms += _DELAY_MS
-        for one in news.held:
+        for one in news.quarantined:
             one.held_ms += _DELAY_MS
             one.asked_ms += _DELAY_MS
-        self.ledgers[receiver].take(news)
+        self.histories[receiver].merge_report(news)
 
     def send_all(self):
-        pairs = list(permutations(range(len(self.ledgers)), 2))
+        pairs = list(permutations(range(len(self.histories)), 2))
         for sender, receiver in pairs * 2:
             self.send(sender, receiver)
 
@@ -56,13 +56,13 @@
 
 def test_request_is_quarantined_after_three_crashes():
     world = World()
-    ledger = world.ledgers[0]
+    history = world.histories[0]
     for number in range(3):
-        assert not ledger.is_held(CULPRIT)
-        assert ledger.count_crashes(CULPRIT) == number
+        assert not history.is_quarantined(CULPRIT)
+        assert history.count_crashes(CULPRIT) == number
         world.crash(f's{number}', CULPRIT, 10 + number)
-    assert ledger.is_held(CULPRIT)
-    assert not any(ledger.is_held(10 + number) for number in range(3))
+    assert history.is_quarantined(CULPRIT)
+    assert not any(history.is_quarantined(10 + number) for number in range(3))
     assert world.quarantined == [(CULPRIT, 3)]
 
 
@@ -73,10 +73,14 @@
         world = World(2)
         world.clock.time_ms = 100
         for number, begun_ms in enumerate((40, 20)):
-            ledger = world.ledgers[number]
-            ledger.note_crash('s1', 100, [CULPRIT], {CULPRIT: begun_ms})
-        world.ledgers[order[0]].take(world.ledgers[order[1]].tell())
-        merged.append(world.ledgers[order[0]].tell().crashes[0].begun_ms)
+            history = world.histories[number]
+            history.note_crash('s1', 100, [CULPRIT], {CULPRIT: begun_ms})
+        world.histories[order[0]].merge_report(
+            world.histories[order[1]].make_report()
+        )
+        merged.append(
+            world.histories[order[0]].make_report().crashes[0].begun_ms
+        )
     assert merged == [{CULPRIT: 20}, {CULPRIT: 20}]
 
 
@@ -84,30 +88,30 @@
     world = World()
     for _ in range(5):
         world.crash('s1', CULPRIT)
-    assert world.ledgers[0].count_crashes(CULPRIT) == 1
+    assert world.histories[0].count_crashes(CULPRIT) == 1
 
 
 def test_crashes_of_a_restarted_server_count_separately():
     world = World()
     for _ in range(3):
         world.crash('s1', CULPRIT, pause_ms=4000)
-    assert world.ledgers[0].is_held(CULPRIT)
+    assert world.histories[0].is_quarantined(CULPRIT)
 
 
 @pytest.mark.parametrize('after', [1, 2, 3])
 def test_answer_clears_a_request(after):
     world = World()
-    ledger = world.ledgers[0]
+    history = world.histories[0]
     for number in range(after):
         world.crash(f's{number}', CULPRIT)
     world.clock.time_ms += 1
-    ledger.note_answered(CULPRIT)
-    assert not ledger.is_held(CULPRIT)
-    assert ledger.count_crashes(CULPRIT) == 0
+    history.note_answered(CULPRIT)
+    assert not history.is_quarantined(CULPRIT)
+    assert history.count_crashes(CULPRIT) == 0
     world.clock.time_ms += 1000
     for number in range(5, 7):
         world.crash(f's{number}', CULPRIT)
-    assert not ledger.is_held(CULPRIT)
+    assert not history.is_quarantined(CULPRIT)
 
 
 @pytest.mark.parametrize(
@@ -119,51 +123,51 @@
 ):
     world = World()
     world.quarantine()
-    ledger = world.ledgers[0]
+    history = world.histories[0]
     for _ in range(4):
         world.clock.time_ms += interval_ms
-        ledger.discard_expired()
-        assert ledger.is_held(CULPRIT) == is_quarantined
-    assert len(ledger) == 0
+        history.discard_expired()
+        assert history.is_quarantined(CULPRIT) == is_quarantined
+    assert len(history) == 0
 
 
 def test_ledger_is_bounded_and_keeps_quarantined_requests():
     """Guards against eviction by a request that changes each time."""
     world = World()
-    ledger = world.ledgers[0]
+    history = world.histories[0]
     world.quarantine()
     for number in range(1000):
         requests = range(100 * number, 100 * number + 99)
         world.crash(f'more-{number}', *requests)
-    news = ledger.tell()
+    news = history.make_report()
     assert len(news.crashes) <= 64
     assert max(len(one.requests) for one in news.crashes) <= 32
-    assert ledger.is_held(CULPRIT)
+    assert history.is_quarantined(CULPRIT)
 
 
 def test_number_of_quarantined_and_cleared_requests_is_bounded():
     world = World()
-    ledger = world.ledgers[0]
+    history = world.histories[0]
     for request in range(1000):
         for number in range(3):
             world.crash(f's{request}-{number}', request)
         if request % 2:
-            ledger.note_answered(request)
-    news = ledger.tell()
-    assert len(news.held) <= 256
+            history.note_answered(request)
+    news = history.make_report()
+    assert len(news.quarantined) <= 256
     assert len(news.cleared) <= 512
-    assert ledger.is_held(998)
+    assert history.is_quarantined(998)
 
 
 def test_bound_per_crash_keeps_requests_with_most_crashes():
     """Guards against eviction of the culprit from a crash of many requests."""
     world = World()
-    ledger = world.ledgers[0]
+    history = world.histories[0]
     for number in range(4):
         first = 1000 * (number + 1)
         world.crash(f's{number}', 10**9)
         world.crash(f's{number}', *range(first, first + 99))
-    assert ledger.is_held(10**9)
+    assert history.is_quarantined(10**9)
 
 
 @pytest.mark.parametrize('at', [(0, 1, 2), (0, 0, 1), (2, 1, 1)])
@@ -173,20 +177,20 @@
         world.crash(f's{number}', CULPRIT, at=instance)
         world.crash(f's{number}', 10 + number, at=(instance + 1) % 3)
     world.send_all()
-    assert all(one.is_held(CULPRIT) for one in world.ledgers)
-    assert len({one.digest for one in world.ledgers}) == 1
+    assert all(one.is_quarantined(CULPRIT) for one in world.histories)
+    assert len({one.digest for one in world.histories}) == 1
 
 
 def test_new_instance_receives_quarantined_requests():
     world = World(count=2)
     world.quarantine()
     world.clock.time_ms += RETENTION_MS / 2
-    world.ledgers[0].is_held(CULPRIT)
+    world.histories[0].is_quarantined(CULPRIT)
     world.clock.time_ms += RETENTION_MS / 2 + 1000
-    world.ledgers[0].discard_expired()
+    world.histories[0].discard_expired()
     world.send(0, 1)
-    assert world.ledgers[1].is_held(CULPRIT)
-    assert len(world.ledgers[1]) == 0
+    assert world.histories[1].is_quarantined(CULPRIT)
+    assert len(world.histories[1]) == 0
 
 
 def test_answer_clears_a_request_at_all_instances():
@@ -195,25 +199,25 @@
     world.quarantine(at=0)
     world.send(0, 1)
     world.clock.time_ms += 10
-    world.ledgers[1].note_answered(CULPRIT)
+    world.histories[1].note_answered(CULPRIT)
     world.send(1, 2)
     world.send(0, 2)
     world.send_all()
-    assert not any(one.is_held(CULPRIT) for one in world.ledgers)
-    assert len({one.digest for one in world.ledgers}) == 1
+    assert not any(one.is_quarantined(CULPRIT) for one in world.histories)
+    assert len({one.digest for one in world.histories}) == 1
 
 
 def test_subscribers_are_notified_only_of_local_changes():
     world = World(count=2)
     notified = []
-    for number, ledger in enumerate(world.ledgers):
-        ledger.subscribe(partial(notified.append, number))
+    for number, history in enumerate(world.histories):
+        history.subscribe(partial(notified.append, number))
     world.crash('s1', CULPRIT)
     world.crash('s1', CULPRIT)
     world.send(0, 1)
-    world.ledgers[0].note_answered(OTHER)
+    world.histories[0].note_answered(OTHER)
     assert notified == [0]
-    world.ledgers[1].note_answered(CULPRIT)
+    world.histories[1].note_answered(CULPRIT)
     assert notified == [0, 1]
 
 
@@ -240,11 +244,11 @@
             requests = (CULPRIT, 10 + second)
             world.crash(f's{server}', *requests, at=first, pause_ms=0)
         elif kind == 'answer':
-            world.ledgers[first].note_answered(10 + second)
+            world.histories[first].note_answered(10 + second)
         elif first != second:
             world.send(first, second)
     world.clock.time_ms += 1000
     world.send_all()
     world.send_all()
-    assert len({one.digest for one in world.ledgers}) == 1
-    assert len({one.is_held(CULPRIT) for one in world.ledgers}) == 1
+    assert len({one.digest for one in world.histories}) == 1
+    assert len({one.is_quarantined(CULPRIT) for one in world.histories}) == 1
--- a/crankchute/core/crash_news.py
+++ b/crankchute/core/crash_news.py
@@ -30,7 +30,7 @@
         self.begun_ms = dict(begun_ms or {})
 
 
-class HeldRequest:
+class QuarantinedRequest:
     """A quarantined request: it is no longer sent to servers.
 
     Attributes:
@@ -64,19 +64,19 @@
         self.at_ms = at_ms
 
 
-class CrashNews:
-    """The contents of a crash ledger, as sent to other instances.
+class CrashReport:
+    """The contents of a crash history, as sent to other instances.
 
     Attributes:
       crashes: A list of Crash.
-      held: A list of HeldRequest.
+      quarantined: A list of QuarantinedRequest.
       cleared: A list of ClearedRequest.
     """
 
-    __slots__ = ('cleared', 'crashes', 'held')
+    __slots__ = ('cleared', 'crashes', 'quarantined')
 
-    def __init__(self, crashes, held, cleared):
+    def __init__(self, crashes, quarantined, cleared):
         """Create the record; see the class."""
         self.crashes = crashes
-        self.held = held
+        self.quarantined = quarantined
         self.cleared = cleared
--- a/crankchute/core/crash_watch.py
+++ b/crankchute/core/crash_watch.py
@@ -35,29 +35,29 @@
         self.waiting = []
 
 
-class CrashWatch:
-    """Probes servers that close connections, and updates the crash ledger."""
+class CrashDetector:
+    """Probes servers that close connections, and updates the crash history."""
 
-    __slots__ = ('_ledger', '_on_crashed', '_port', '_probes', '_timers')
+    __slots__ = ('_history', '_on_crashed', '_port', '_probes', '_timers')
 
-    def __init__(self, ledger, port, timers, on_crashed=None):
+    def __init__(self, history, port, timers, on_crashed=None):
         """Create the watch.
 
         Args:
-          ledger: The CrashLedger.
+          history: The CrashHistory.
           port: A ForwardPort.
           timers: A TimerService.
           on_crashed: A function of the Backend that crashed and of the
             fingerprints of the requests in progress there; or None.
         """
         self._on_crashed = on_crashed
-        self._ledger = ledger
+        self._history = history
         self._port = port
         self._timers = timers
         self._probes = {}
-        timers.every(_EXPIRY_INTERVAL_MS, ledger.discard_expired)
+        timers.every(_EXPIRY_INTERVAL_MS, history.discard_expired)
 
-    def note_cut(self, attempt, fingerprint, on_known):
+    def note_connection_lost(self, attempt, fingerprint, on_known):
         """Record that a server closed the connection of a request.
 
         Args:
@@ -78,7 +78,7 @@
             )
         begun_ms = probe.begun_ms.get(fingerprint, attempt.sent_ms)
         probe.begun_ms[fingerprint] = min(begun_ms, attempt.sent_ms)
-        if self._ledger.count_crashes(fingerprint) + 1 < CRASHES_TO_QUARANTINE:
+        if self._history.count_crashes(fingerprint) + 1 < CRASHES_TO_QUARANTINE:
             on_known()
         else:
             probe.waiting.append(on_known)
@@ -89,7 +89,7 @@
         Args:
           fingerprint: The request's fingerprint.
         """
-        self._ledger.note_answered(fingerprint)
+        self._history.note_answered(fingerprint)
 
     def is_suspect(self, fingerprint):
         """Return whether any server crashed while running a request.
@@ -97,9 +97,9 @@
         Args:
           fingerprint: The request's fingerprint.
         """
-        return self._ledger.count_crashes(fingerprint) > 0
+        return self._history.count_crashes(fingerprint) > 0
 
-    def may_try_again(self, fingerprint):
+    def may_retry(self, fingerprint):
         """Return whether a failed request may be retried at another server.
 
         A request present at enough crashes may be their cause even if it is not
@@ -110,7 +110,7 @@
         Args:
           fingerprint: The request's fingerprint.
         """
-        return self._ledger.count_crashes(fingerprint) < CRASHES_TO_QUARANTINE
+        return self._history.count_crashes(fingerprint) < CRASHES_TO_QUARANTINE
 
     def find_refusal(self, fingerprint):
         """Return the Refusal of a quarantined request, else None.
@@ -121,7 +121,7 @@
         Args:
           fingerprint: The request's fingerprint.
         """
-        if not self._ledger.is_held(fingerprint):
+        if not self._history.is_quarantined(fingerprint):
             return None
         return refuse_not_run(
             'crashes_servers',
@@ -145,7 +145,7 @@
         backend.breaker.trip(self._timers.clock.now_ms())
         if self._on_crashed is not None:
             self._on_crashed(backend, probe.begun_ms)
-        self._ledger.note_crash(
+        self._history.note_crash(
             backend.identity,
             probe.at_ms,
             probe.begun_ms,
--- a/crankchute/core/crash_watch_test.py
+++ b/crankchute/core/crash_watch_test.py
@@ -29,7 +29,7 @@
         self.port.listening[backend.identity] = is_listening
         if is_listening is False and backend in self.backends:
             self.backends.remove(backend)
-        exc = BackendError('closed', sent=True, cut=is_cut)
+        exc = BackendError('closed', sent=True, connection_lost=is_cut)
         call.listener.on_failed(exc)
 
     def submit_and_cut(self, is_listening=None, fingerprint=CULPRIT, **fields):
@@ -89,7 +89,7 @@
         for _ in range(2):
             world.cut(world.port.calls[-1], False, is_cut=is_cut)
             world.timers.advance(100)
-    assert world.crashes.is_held(CULPRIT) == is_cut
+    assert world.crashes.is_quarantined(CULPRIT) == is_cut
 
 
 def test_request_is_not_sent_to_a_fourth_server():
--- a/crankchute/core/dispatcher.py
+++ b/crankchute/core/dispatcher.py
@@ -4,7 +4,7 @@
     list_candidates,
     list_group_candidates,
 )
-from crankchute.core.crash_ledger import CrashLedger
+from crankchute.core.crash_ledger import CrashHistory
 from crankchute.core.fair_queue import LaneQueue
 from crankchute.core.flow_desk import MIN_RETRY_AFTER_MS, FlowDesk
 from crankchute.core.group_flow import GroupFlow
@@ -31,10 +31,10 @@
           timers: A TimerService.
           random: A random.Random.
           metrics: A Metrics port.
-          crashes: A CrashLedger, or None to create one.
+          crashes: A CrashHistory, or None to create one.
         """
         if crashes is None:
-            crashes = CrashLedger(timers.clock.now_ms)
+            crashes = CrashHistory(timers.clock.now_ms)
         self.crashes = crashes
         self.engines = engines
         self.timers = timers
--- a/crankchute/core/dispatcher_test.py
+++ b/crankchute/core/dispatcher_test.py
@@ -67,7 +67,7 @@
         while self.engines.generating:
             self.cut_attempts += 1
             generation = self.engines.generating.pop()
-            exc = BackendError('closed', sent=True, cut=True)
+            exc = BackendError('closed', sent=True, connection_lost=True)
             generation.listener.on_failed(exc)
             self.timers.advance(_SETTLE_MS)
         return sink
--- a/crankchute/core/engine_board.py
+++ b/crankchute/core/engine_board.py
@@ -159,7 +159,7 @@
         """Record a load that the engine stated.
 
         Args:
-          load: A SeenLoad.
+          load: A ReportedLoad.
           now_ms: The time.
         """
         stated_at_ms = now_ms - load.age_ms
--- a/crankchute/core/engine_chooser_test.py
+++ b/crankchute/core/engine_chooser_test.py
@@ -15,7 +15,7 @@
 )
 from crankchute.core.forward_job import PromptSize, Repeat
 from crankchute.core.outcomes import Refusal
-from crankchute.core.seen_load import SeenLoad
+from crankchute.core.seen_load import ReportedLoad
 from crankchute.ports.forwarding import AnswerHead, StreamEvent
 
 SHORT = PromptSize(5_000, 1_000)
@@ -192,11 +192,11 @@
     flow, _sink = world.submit(is_stream=True, repeat=Repeat.RESUME)
     backend = world.port.calls[0].placement.backend
     world.timers.advance(440)
-    assert not backend.suspicion.own_signs(440).failures
+    assert not backend.suspicion.local_counts(440).failures
     world.timers.advance(20)
-    assert round(backend.suspicion.own_signs(460).failures) == 1
+    assert round(backend.suspicion.local_counts(460).failures) == 1
     flow.cancel()
-    assert round(backend.suspicion.own_signs(460).failures) == 1
+    assert round(backend.suspicion.local_counts(460).failures) == 1
 
 
 def test_late_response_clears_the_suspicion():
@@ -208,7 +208,7 @@
     call.listener.on_head(AnswerHead(200))
     call.listener.on_event(StreamEvent(0, b''))
     backend = call.placement.backend
-    assert not round(backend.suspicion.own_signs(460).failures, 3)
+    assert not round(backend.suspicion.local_counts(460).failures, 3)
 
 
 def test_queued_prefills_postpone_the_overdue_time():
@@ -233,7 +233,7 @@
 def test_unknown_requests_count_as_the_wait_for_a_slot(requests, chosen):
     world = World(engines=4)
     for backend in world.backends[2:]:
-        world.chooser.note_load(backend, SeenLoad(requests))
+        world.chooser.note_load(backend, ReportedLoad(requests))
     assert engines_of(world.place(SHORT)[1]) <= chosen
     # Unknown requests are assumed to end as well.
     world.timers.advance(2500)
--- a/crankchute/core/engine_fakes.py
+++ b/crankchute/core/engine_fakes.py
@@ -10,7 +10,7 @@
     """A ReportPort with canned loads.
 
     Attributes:
-      loads: A map from a server's id to its SeenLoad.
+      loads: A map from a server's id to its ReportedLoad.
       asked: The ids of the servers that were polled, a list.
     """
 
--- a/crankchute/core/engine_shortlist.py
+++ b/crankchute/core/engine_shortlist.py
@@ -152,6 +152,7 @@
             state.wait_ms(now_ms)
             + state.writers * _DECODE_PENALTY_MS
             + excess * self._slot_ms
-            + backend.suspicion.chance(now_ms) * _FAILURE_PENALTY_MS
+            + backend.suspicion.failure_probability(now_ms)
+            * _FAILURE_PENALTY_MS
             + self.estimate_path_cost_s(backend) * _MS_PER_SECOND
         )
--- a/crankchute/core/fakes.py
+++ b/crankchute/core/fakes.py
@@ -2,7 +2,7 @@
 
 import orjson
 
-from crankchute.core.fleet import Listed, LoadReport
+from crankchute.core.fleet import ListedServer, LoadReport
 from crankchute.core.frames import Frame
 from crankchute.core.job import Job
 from crankchute.core.timer_heap import TimerHeap
@@ -280,7 +280,7 @@
 
 def make_listed(identity, kind='engine', data_centre='dc-1'):
     """Return an entry of the instance list."""
-    return Listed(
+    return ListedServer(
         {
             'id': identity,
             'kind': kind,
--- a/crankchute/core/fleet.py
+++ b/crankchute/core/fleet.py
@@ -10,7 +10,7 @@
 from crankchute.core.labels import match_labels
 from crankchute.core.ownership import Holding
 from crankchute.core.prefix import PrefixKnowledge
-from crankchute.core.suspicion import Suspicion
+from crankchute.core.suspicion import FailureEstimator
 
 #: The greatest age of an engine's load figures when its report arrives.
 _REPORT_LAG_MS = 200
@@ -20,7 +20,7 @@
 KIND_ENTRY = 'entry'
 
 
-class Listed:
+class ListedServer:
     """One entry of the platform's instance list.
 
     Attributes:
@@ -65,7 +65,7 @@
           born: The time of that start, in Unix milliseconds.
         """
         host, port = self.address
-        return Listed(
+        return ListedServer(
             {
                 'id': self.listed_id,
                 'kind': self.kind,
@@ -81,7 +81,7 @@
         """Return whether this is an earlier start of the same instance.
 
         Args:
-          other: A Listed with the same listed id.
+          other: A ListedServer with the same listed id.
         """
         if self.born is None or other.born is None:
             return False
@@ -172,14 +172,14 @@
     """A backend server, as one entry instance sees it.
 
     Attributes:
-      listed: The Listed record.
+      listed: The ListedServer record.
       load: The newest LoadReport, or None.
       in_flight: The number of this instance's requests in progress there.
       pending_tokens: Prompt tokens that this instance sent and that have not
         led to a first token yet.
       prefix: The PrefixKnowledge.
-      serving_long: The number of this instance's long prompts there.
-      refused_until_ms: When requests may be sent again, after the server asked
+      long_prompt_count: The number of this instance's long prompts there.
+      paused_until_ms: When requests may be sent again, after the server asked
         to be sent none.
       breaker: The circuit breaker of this instance's requests.
       suspicion: The estimate of the server's failure rate, from the requests
@@ -194,8 +194,8 @@
         'load',
         'pending_tokens',
         'prefix',
-        'refused_until_ms',
-        'serving_long',
+        'paused_until_ms',
+        'long_prompt_count',
         'suspicion',
     )
 
@@ -203,22 +203,22 @@
         """Create the record of a server that has reported no load.
 
         Args:
-          listed: A Listed.
+          listed: A ListedServer.
         """
         self.listed = listed
         self.load = None
         self.in_flight = 0
         self.pending_tokens = 0
         self._pending = Counter()
-        self.refused_until_ms = 0
-        self.serving_long = 0
+        self.paused_until_ms = 0
+        self.long_prompt_count = 0
         self.breaker = Breaker()
-        self.suspicion = Suspicion()
+        self.suspicion = FailureEstimator()
         self.prefix = PrefixKnowledge()
 
     @property
     def identity(self):
-        """The key of this start of the server; see Listed."""
+        """The key of this start of the server; see ListedServer."""
         return self.listed.identity
 
     @property
@@ -243,7 +243,7 @@
         self.breaker.note_failure(now_ms)
         self.suspicion.note_failure(now_ms, weight)
 
-    def note_sound(self, now_ms):
+    def note_success(self, now_ms):
         """Record that a request of this instance succeeded there.
 
         Args:
@@ -252,13 +252,13 @@
         self.breaker.note_success()
         self.suspicion.note_success(now_ms)
 
-    def leave_alone(self, until_ms):
+    def pause_until(self, until_ms):
         """Send no requests before a time; an earlier time changes nothing.
 
         Args:
           until_ms: A time on this process's clock.
         """
-        self.refused_until_ms = max(self.refused_until_ms, until_ms)
+        self.paused_until_ms = max(self.paused_until_ms, until_ms)
 
     def note_load(self, report):
         """Store a load report, and drop prefixes from before a restart.
@@ -388,7 +388,7 @@
         """Replace the instance list.
 
         Args:
-          listed: An iterable of Listed; entry instances are skipped.
+          listed: An iterable of ListedServer; entry instances are skipped.
         """
         known = self._backends
         self._backends = {}
--- a/crankchute/core/flow_desk.py
+++ b/crankchute/core/flow_desk.py
@@ -2,7 +2,7 @@
 
 from crankchute.core.attempt_desk import AttemptContext
 from crankchute.core.candidates import is_usable
-from crankchute.core.crash_watch import CrashWatch
+from crankchute.core.crash_watch import CrashDetector
 from crankchute.core.forward_job import Placement
 from crankchute.core.policies import (
     RoutingView,
@@ -37,7 +37,7 @@
         self._choice_count = 0
         self.engines = ports.engines
         self.port = CompletionPort(ports.engines, ports.metrics)
-        self.crash_watch = CrashWatch(
+        self.crash_watch = CrashDetector(
             ports.crashes,
             self.port,
             ports.timers,
@@ -149,7 +149,7 @@
         """Record that a job is sent to an engine."""
         job = flow.job
         attempt.backend.note_sent(job.engine_priority, job.tokens)
-        attempt.backend.serving_long += job.is_long
+        attempt.backend.long_prompt_count += job.is_long
 
     def note_first(self, flow, attempt):
         """Record an attempt's first token, which frees engine capacity."""
@@ -164,7 +164,7 @@
     def note_left(self, flow, attempt):
         """Record that a job that was sent is no longer at its engine."""
         job = flow.job
-        attempt.backend.serving_long -= job.is_long
+        attempt.backend.long_prompt_count -= job.is_long
         if not attempt.started:
             attempt.backend.note_answered(job.engine_priority, job.tokens)
 
@@ -181,7 +181,7 @@
           pause_ms: Milliseconds, or None for no pause.
         """
         if pause_ms:
-            backend.leave_alone(self.now_ms() + pause_ms)
+            backend.pause_until(self.now_ms() + pause_ms)
 
     def note_dropped(self, flow, attempt):
         """Count an event that the caller already received."""
@@ -218,7 +218,7 @@
 
 
 def _group_preference(backend):
-    return (backend.serving_long, -backend.load.memory_free)
+    return (backend.long_prompt_count, -backend.load.memory_free)
 
 
 def _identity_of(backend):
--- a/crankchute/core/forward_attempt.py
+++ b/crankchute/core/forward_attempt.py
@@ -146,7 +146,7 @@
         if self._head.status >= FIRST_SERVER_ERROR:
             self.backend.note_failed(now_ms, _SERVER_ERROR_WEIGHT)
         else:
-            self.backend.note_sound(now_ms)
+            self.backend.note_success(now_ms)
         self._flow.on_attempt_end(self, self._head, b''.join(self._body))
 
     def on_not_run(self, rejection):
--- a/crankchute/core/forward_desk.py
+++ b/crankchute/core/forward_desk.py
@@ -9,7 +9,7 @@
     DEFAULT_RETRY_AFTER_MS,
     AttemptContext,
 )
-from crankchute.core.crash_watch import CrashWatch
+from crankchute.core.crash_watch import CrashDetector
 from crankchute.core.forward_flow import ForwardFlow
 from crankchute.core.forward_job import Placement
 from crankchute.core.outcomes import Outcome, refuse_not_run
@@ -25,7 +25,7 @@
       port: The ForwardPort.
       metrics: A Metrics port.
       journal: A ForwardJournal, which logs decisions.
-      crash_watch: The CrashWatch.
+      crash_watch: The CrashDetector.
       lending: The TurnLending.
       chooser_of: A function that maps a pool name to a Chooser or None.
     """
@@ -49,7 +49,7 @@
         self._hints = ports.hints
         self._note_moved = ports.note_moved
         self._reservations = ports.reservations
-        self.crash_watch = CrashWatch(
+        self.crash_watch = CrashDetector(
             ports.crashes,
             ports.forward,
             ports.timers,
@@ -231,7 +231,7 @@
             self._note_moved(server)
         elif rejection.retry_after_ms:
             # A helper's pause is reported by the server that got the request.
-            server.leave_alone(self.now_ms() + rejection.retry_after_ms)
+            server.pause_until(self.now_ms() + rejection.retry_after_ms)
 
     def note_dropped(self, flow, attempt):
         """Count an event that the caller already received."""
@@ -299,7 +299,7 @@
           fields: `forward`, a ForwardPort; `timers`, a TimerService;
             `metrics`, a Metrics port; `journal`, a ForwardJournal;
             `reservations`, a ReservationDesk; `hints`, ReturnHints;
-            `crashes`, a CrashLedger;
+            `crashes`, a CrashHistory;
             `chooser_of`, a function that maps a pool name to a Chooser or
             None;
             `note_moved`, a function of a Backend whose address another server
--- a/crankchute/core/forward_fakes.py
+++ b/crankchute/core/forward_fakes.py
@@ -3,11 +3,11 @@
 from random import Random
 
 from crankchute.core.choosers import Chooser, ChooserParts
-from crankchute.core.crash_ledger import CrashLedger
+from crankchute.core.crash_ledger import CrashHistory
 from crankchute.core.engine_board import EngineBoard
 from crankchute.core.engine_model import EngineFigures
 from crankchute.core.fakes import ManualTimers
-from crankchute.core.fleet import Backend, Listed
+from crankchute.core.fleet import Backend, ListedServer
 from crankchute.core.forward_config import PoolConfig
 from crankchute.core.forward_desk import ForwardDesk, ForwardPorts
 from crankchute.core.forward_job import (
@@ -306,7 +306,7 @@
       reservations: A FakeReservations.
       reservation_desk: The ReservationDesk that uses these reservations.
       chooser: A FirstChooser.
-      crashes: The CrashLedger.
+      crashes: The CrashHistory.
       desk: The ForwardDesk.
       journal: A FakeJournal.
       moved: The Backends reported as no longer at their addresses, a list.
@@ -324,7 +324,7 @@
         self.port = FakePort()
         self.reservations = FakeReservations()
         self.journal = FakeJournal()
-        self.crashes = CrashLedger(self.timers.clock.now_ms)
+        self.crashes = CrashHistory(self.timers.clock.now_ms)
         self.backends = make_backends(servers)
         metrics = Metrics()
         self.chooser = FirstChooser(
@@ -372,7 +372,7 @@
     """
     return [
         Backend(
-            Listed(
+            ListedServer(
                 {
                     'id': f'server-{number:02}',
                     'kind': 'backend',
--- a/crankchute/core/forward_fleet.py
+++ b/crankchute/core/forward_fleet.py
@@ -9,12 +9,12 @@
 only by the instance that it asked.
 
 A server may restart under the same id, and has then lost its state.  So state is
-kept for each start (Listed.identity), and the latest start counts, in whatever
+kept for each start (ListedServer.identity), and the latest start counts, in whatever
 order the starts are reported.
 """
 
 from crankchute.core.fleet import LEAVING, Backend
-from crankchute.core.server_rests import ServerRests
+from crankchute.core.server_rests import ServerPauses
 
 #: How long an entry is kept that may have expired only because the store was
 #: unavailable.
@@ -40,7 +40,7 @@
     """Backend servers by identity and by pool.
 
     Attributes:
-      rests: The ServerRests.
+      rests: The ServerPauses.
     """
 
     def __init__(self, timers, pool_label):
@@ -51,7 +51,7 @@
           pool_label: The label that holds the name of a server's pool.
         """
         self._timers = timers
-        self.rests = ServerRests(timers.clock)
+        self.rests = ServerPauses(timers.clock)
         self._pool_label = pool_label
         self._on_restarted = []
         self._latest_starts = {}
@@ -146,7 +146,7 @@
         """Add or update a server; an entry of an earlier start is ignored.
 
         Args:
-          listed: A Listed.
+          listed: A ListedServer.
         """
         latest = self._latest_starts.get(listed.listed_id, listed)
         if latest.born is not None and listed.born is None:
@@ -209,7 +209,7 @@
         entries again.
 
         Args:
-          listed: A list of Listed.
+          listed: A list of ListedServer.
           may_lapse: See remove().
           may_be_old: Whether the list may be older than the current one.
         """
@@ -281,7 +281,7 @@
         backend = self._backends.get(listed.identity)
         if backend is None or backend.listed.address != listed.address:
             backend = Backend(listed)
-            backend.leave_alone(self.rests.until_ms(listed.identity))
+            backend.pause_until(self.rests.until_ms(listed.identity))
             self._backends[listed.identity] = backend
         backend.listed = listed
         self._latest_starts[listed.listed_id] = listed
@@ -308,7 +308,7 @@
         if backend is not None:
             # The pause that it asked for, perhaps through another server,
             # outlasts the entry.
-            self.rests.keep(identity, backend.refused_until_ms)
+            self.rests.pause_until(identity, backend.paused_until_ms)
         self._listed_at_ms.pop(identity, None)
         self._removed_at_ms[identity] = self._now_ms()
         self._pools = {}
@@ -340,5 +340,5 @@
       backend: A Backend.
       now_ms: The time.
     """
-    is_available = now_ms >= backend.refused_until_ms
+    is_available = now_ms >= backend.paused_until_ms
     return is_available and backend in fleet.members_of(fleet.pool_of(backend))
--- a/crankchute/core/forward_fleet_test.py
+++ b/crankchute/core/forward_fleet_test.py
@@ -3,14 +3,14 @@
 import pytest
 
 from crankchute.core.fakes import ManualTimers
-from crankchute.core.fleet import LEAVING, LIVE, Listed
+from crankchute.core.fleet import LEAVING, LIVE, ListedServer
 from crankchute.core.forward_fleet import ForwardFleet
 
 POOL = 'pool'
 
 
 def make_listed(identity, state=LIVE, port=7001, born=None):
-    return Listed(
+    return ListedServer(
         {
             'id': identity,
             'born': born,
@@ -176,7 +176,7 @@
     assert world.members() == ['a@200']
     assert world.ended == [world.first]
     again = world.fleet.get('a@200')
-    assert again.suspicion.chance(0) == 0
+    assert again.suspicion.failure_probability(0) == 0
     assert again.listed.listed_id == 'a'
 
 
--- a/crankchute/core/forward_flow.py
+++ b/crankchute/core/forward_flow.py
@@ -166,7 +166,7 @@
             if self.ended:
                 return
             watch = self._desk.crash_watch
-            is_safe = watch.may_try_again(self.job.fingerprint)
+            is_safe = watch.may_retry(self.job.fingerprint)
             may_repeat = self.job.may_repeat and is_safe
             if may_repeat and self._may_retry(attempt.backend):
                 self._try_next('failed')
@@ -180,8 +180,8 @@
 
         The answer decides whether the request may be sent again.
         """
-        if exc.cut:
-            self._desk.crash_watch.note_cut(
+        if exc.connection_lost:
+            self._desk.crash_watch.note_connection_lost(
                 attempt,
                 self.job.fingerprint,
                 callback,
--- a/crankchute/core/forward_flow_test.py
+++ b/crankchute/core/forward_flow_test.py
@@ -269,7 +269,7 @@
     for retry_after_ms in (3000, 500):
         rejection = Rejection('full', at_server, retry_after_ms)
         world.desk.note_rejection(None, world.port.calls[0], rejection)
-    until_ms = [one.refused_until_ms for one in world.backends]
+    until_ms = [one.paused_until_ms for one in world.backends]
     assert until_ms[paused] == 3000
     assert sum(until_ms) == 3000
 
@@ -311,7 +311,7 @@
     first = world.port.calls[0].placement
     world.desk.note_restarted(first.helpers[0].backend)
     assert len(world.port.calls) == 2
-    assert not first.backend.suspicion.chance(0)
+    assert not first.backend.suspicion.failure_probability(0)
 
 
 def test_restart_of_unrelated_server_is_ignored():
--- a/crankchute/core/group_flow.py
+++ b/crankchute/core/group_flow.py
@@ -130,7 +130,7 @@
 
     def _change_serving_long(self, change):
         for member in self._members:
-            member.backend.serving_long += change
+            member.backend.long_prompt_count += change
 
     def _reserve_next(self):
         pending = [member for member in self._members if not member.is_held]
@@ -212,15 +212,15 @@
         """Replace a lost member by a spare engine that prefills its segment."""
         self._avoided.add(member.backend.identity)
         self._release(member.backend, self._group)
-        member.backend.serving_long -= 1
+        member.backend.long_prompt_count -= 1
         member_ids = {other.backend.identity for other in self._members}
         spare = self._desk.choose_spare(self.job, member_ids | self._avoided)
         if spare is None:
-            member.backend.serving_long += 1
+            member.backend.long_prompt_count += 1
             self._restart(member.backend)
             return
         member.backend = spare
-        member.backend.serving_long += 1
+        member.backend.long_prompt_count += 1
         member.is_held = False
         member.export = None
         self._desk.metrics.count('group_replacements')
--- a/crankchute/core/limit_desk.py
+++ b/crankchute/core/limit_desk.py
@@ -3,7 +3,7 @@
 from crankchute.core.limit_questions import LimitProber
 from crankchute.core.limit_shares import LimitShares, ParticipantTracker
 from crankchute.core.limit_turns import LimitTurns
-from crankchute.core.server_limits import ServerLimits
+from crankchute.core.server_limits import AdvertisedLimits
 
 _PARTICIPANT_POLL_MS = 250
 
@@ -28,7 +28,7 @@
         self._timers = timers
         self._participant_tracker = ParticipantTracker(instance)
         self.shares = LimitShares(timers.clock, instance)
-        self.words = ServerLimits(timers.clock, f'{instance}-{boot}')
+        self.words = AdvertisedLimits(timers.clock, f'{instance}-{boot}')
         self.turns = LimitTurns(timers.clock, self.words, self.shares)
 
     def start(self, list_active, is_unreachable, send_probe):
--- a/crankchute/core/limit_turns_test.py
+++ b/crankchute/core/limit_turns_test.py
@@ -39,7 +39,7 @@
         self.limits.turns.note_sent(SERVER)
 
     def advertise(self, limit):
-        self.limits.words.take(SERVER, limit, self.now_ms)
+        self.limits.words.receive_answer(SERVER, limit, self.now_ms)
 
     def send_all(self, for_ms):
         """Send all requests that are permitted, every 10 ms."""
--- a/crankchute/core/load_survey.py
+++ b/crankchute/core/load_survey.py
@@ -21,7 +21,7 @@
 
         Args:
           backend: A Backend.
-          on_load: A function of a SeenLoad; not called without an answer.
+          on_load: A function of a ReportedLoad; not called without an answer.
         """
 
     @abc.abstractmethod
@@ -43,7 +43,7 @@
         Args:
           port: A ReportPort.
           random: A random.Random.
-          record: A function of a Backend and a SeenLoad.
+          record: A function of a Backend and a ReportedLoad.
         """
         self._port = port
         self._random = random
--- a/crankchute/core/seen_load.py
+++ b/crankchute/core/seen_load.py
@@ -8,7 +8,7 @@
 """
 
 
-class SeenLoad:
+class ReportedLoad:
     """A server's report of its load.
 
     Attributes:
@@ -50,7 +50,7 @@
         """Record a report.
 
         Args:
-          load: A SeenLoad.
+          load: A ReportedLoad.
           known: How many requests were known there at the time of the report.
           now_ms: The time.
         """
--- a/crankchute/core/seen_load_test.py
+++ b/crankchute/core/seen_load_test.py
@@ -9,7 +9,7 @@
 from crankchute.core.engine_board import EngineBoard
 from crankchute.core.forward_fakes import make_backends
 from crankchute.core.load_survey import LoadSurvey
-from crankchute.core.seen_load import SeenLoad
+from crankchute.core.seen_load import ReportedLoad
 
 ENGINE = 'engine-1'
 USUAL_MS = 2000
@@ -24,7 +24,7 @@
         self.state = self.board.state(ENGINE)
 
     def report(self, requests, age_ms=0):
-        load = SeenLoad(requests)
+        load = ReportedLoad(requests)
         load.age_ms = age_ms
         self.state.note_load(load, self.now_ms)
 
@@ -102,7 +102,7 @@
 
 def test_survey_passes_each_report_with_its_server():
     port = FakeReports()
-    port.loads['server-01'] = SeenLoad(7)
+    port.loads['server-01'] = ReportedLoad(7)
     reports = []
     survey = LoadSurvey(
         port,
--- a/crankchute/core/server_limits.py
+++ b/crankchute/core/server_limits.py
@@ -27,7 +27,7 @@
 _RETENTION_MS = 600_000
 
 
-class LimitWord:
+class AdvertisedLimit:
     """A report of what a server said about its limit.
 
     Attributes:
@@ -62,14 +62,14 @@
         """Return whether this allows more requests than another report.
 
         Args:
-          other: A LimitWord.
+          other: A AdvertisedLimit.
         """
         if self.limit is None:
             return other.limit is not None
         return other.limit is not None and self.limit > other.limit
 
 
-class ServerLimits:
+class AdvertisedLimits:
     """The latest report of each server's limit."""
 
     def __init__(self, clock, instance):
@@ -108,7 +108,7 @@
         """Return the reports of all servers that have a limit, a list."""
         return [one for one in self._reports.values() if one.limit is not None]
 
-    def take(self, server, limit, sent_ms):
+    def receive_answer(self, server, limit, sent_ms):
         """Record the limit in an answer to this instance.
 
         Args:
@@ -122,7 +122,7 @@
                 self._publish(server, limit)
             return
         now_ms = self._clock.now_ms()
-        report = LimitWord(server, limit, now_ms, known.source)
+        report = AdvertisedLimit(server, limit, now_ms, known.source)
         if report.loosens(known) and sent_ms < known.at_ms:
             return
         if limit == known.limit:
@@ -130,7 +130,7 @@
         else:
             self._publish(server, limit)
 
-    def hear(self, words):
+    def merge_updates(self, words):
         """Merge the reports of another instance.
 
         Args:
@@ -141,7 +141,7 @@
             if known is None or self._is_newer(report, known):
                 self._reports[report.server] = report
 
-    def tell(self):
+    def list_updates(self):
         """Return the LimitWords to send to other instances."""
         now_ms = self._clock.now_ms()
         if self._reports and now_ms - self._shared_at_ms > _CACHE_MS:
@@ -195,7 +195,7 @@
     def _create_report(self, server, limit):
         self._created += 1
         source = f'{self._instance}-{self._created}'
-        return LimitWord(server, limit, self._clock.now_ms(), source)
+        return AdvertisedLimit(server, limit, self._clock.now_ms(), source)
 
     def _discard_expired(self):
         now_ms = self._clock.now_ms()
--- a/crankchute/core/server_limits_test.py
+++ b/crankchute/core/server_limits_test.py
@@ -5,7 +5,7 @@
 import pytest
 
 from crankchute.core.fakes import ManualTimers
-from crankchute.core.server_limits import LimitWord, ServerLimits
+from crankchute.core.server_limits import AdvertisedLimit, AdvertisedLimits
 
 SERVER = 'i-1'
 
@@ -15,7 +15,7 @@
 
     def __init__(self):
         self.timers = ManualTimers()
-        self.limits = ServerLimits(self.timers.clock, 'entry-0')
+        self.limits = AdvertisedLimits(self.timers.clock, 'entry-0')
         self.notified_ms = []
         self.limits.subscribe(lambda: self.notified_ms.append(self.now_ms))
 
@@ -56,7 +56,7 @@
     world = World()
     for at_ms, sent_ms, named in answers:
         world.go_to(at_ms)
-        world.limits.take(SERVER, named, sent_ms)
+        world.limits.receive_answer(SERVER, named, sent_ms)
     assert world.limits.limit_of(SERVER) == limit
 
 
@@ -82,16 +82,18 @@
     world.go_to(1000)
     for source, report in (('a', known), ('b', received)):
         if report is not None:
-            world.limits.hear([LimitWord(SERVER, *report, source)])
+            world.limits.merge_updates(
+                [AdvertisedLimit(SERVER, *report, source)]
+            )
     assert world.limits.limit_of(SERVER) == limit
 
 
 def test_repeated_report_keeps_its_first_time():
     """A delayed copy must not override newer reports."""
     world = World()
-    world.limits.hear([LimitWord(SERVER, 3, 100, 'a-1')])
-    world.limits.hear([LimitWord(SERVER, 3, 5000, 'a-1')])
-    world.limits.hear([LimitWord(SERVER, None, 1000, 'b-1')])
+    world.limits.merge_updates([AdvertisedLimit(SERVER, 3, 100, 'a-1')])
+    world.limits.merge_updates([AdvertisedLimit(SERVER, 3, 5000, 'a-1')])
+    world.limits.merge_updates([AdvertisedLimit(SERVER, None, 1000, 'b-1')])
     assert world.limits.limit_of(SERVER) is None
 
 
@@ -111,7 +113,7 @@
     world = World()
     for at_ms, limit in limits:
         world.go_to(at_ms)
-        world.limits.take(SERVER, limit, at_ms)
+        world.limits.receive_answer(SERVER, limit, at_ms)
     assert world.notified_ms == notified_ms
 
 
@@ -119,12 +121,12 @@
     """The size of a message is bounded however many servers name limits."""
     world = World()
     for number in range(100):
-        world.limits.take(f'i-{number}', 1, 0)
+        world.limits.receive_answer(f'i-{number}', 1, 0)
         world.timers.advance(10)
-    servers = {one.server for one in world.limits.tell()}
+    servers = {one.server for one in world.limits.list_updates()}
     assert servers == {f'i-{number}' for number in range(36, 100)}
     world.timers.advance(5000)
-    assert not world.limits.tell()
+    assert not world.limits.list_updates()
 
 
 def test_unchanged_limit_is_renewed():
@@ -133,8 +135,8 @@
     sources = set()
     for at_ms in range(0, 5000, 400):
         world.go_to(at_ms)
-        world.limits.take(SERVER, 3, at_ms)
-        sent = world.limits.tell()[0]
+        world.limits.receive_answer(SERVER, 3, at_ms)
+        sent = world.limits.list_updates()[0]
         assert sent.at_ms == at_ms
         sources.add(sent.source)
     assert 4 <= len(sources) <= 5
@@ -151,9 +153,11 @@
         receiver.go_to(at_ms)
         sender.go_to(at_ms)
         limit = 50 if at_ms < 1300 else None
-        sender.limits.take(SERVER, limit, at_ms - 1)
+        sender.limits.receive_answer(SERVER, limit, at_ms - 1)
         if not at_ms % 240:
-            receiver.limits.hear(copy.deepcopy(sender.limits.tell()))
+            receiver.limits.merge_updates(
+                copy.deepcopy(sender.limits.list_updates())
+            )
         if at_ms == 1200:
             assert receiver.limits.limit_of(SERVER) == 50
     assert sender.limits.limit_of(SERVER) is None
--- a/crankchute/core/server_list.py
+++ b/crankchute/core/server_list.py
@@ -42,7 +42,7 @@
             return self._replica.changes_since(0)
         return self._replica.changes_since(revision)
 
-    def take_all(self, entries, revision):
+    def replace_all(self, entries, revision):
         """Replace the list by one read from the platform.
 
         Args:
@@ -54,7 +54,7 @@
         self._complete_from = revision
         self._replica = Replica(revision, entries)
 
-    def take(self, changes):
+    def apply_changes(self, changes):
         """Apply changes from the platform or from another instance.
 
         Args:
--- a/crankchute/core/server_list_test.py
+++ b/crankchute/core/server_list_test.py
@@ -11,13 +11,13 @@
 def make_list(**revisions):
     servers = ServerList()
     entries = {key: Entry(one, PAYLOAD) for key, one in revisions.items()}
-    servers.take_all(entries, max(revisions.values()))
+    servers.replace_all(entries, max(revisions.values()))
     return servers
 
 
 def test_empty_list_has_the_revision_at_which_it_was_read():
     servers = ServerList()
-    servers.take_all({}, 7)
+    servers.replace_all({}, 7)
     assert servers.revision == 7
     assert servers.changes_since(0).entries == {}
 
@@ -34,8 +34,8 @@
 )
 def test_only_missing_changes_are_passed_on(since, is_whole, keys):
     servers = make_list(a=3, b=5)
-    servers.take(ChangeSet(5, 6, {'a': Entry(6, None)}))
-    servers.take(ChangeSet(6, 8, {'c': Entry(8, PAYLOAD)}))
+    servers.apply_changes(ChangeSet(5, 6, {'a': Entry(6, None)}))
+    servers.apply_changes(ChangeSet(6, 8, {'c': Entry(8, PAYLOAD)}))
     changes = servers.changes_since(since)
     assert (changes.since == 0) == is_whole
     assert set(changes.entries) == keys
@@ -50,7 +50,7 @@
 
 def test_older_changes_are_ignored():
     servers = make_list(a=3, b=5)
-    servers.take(ChangeSet(0, 4, {'a': Entry(4, None)}))
+    servers.apply_changes(ChangeSet(0, 4, {'a': Entry(4, None)}))
     assert servers.revision == 5
     assert servers.changes_since(0).entries['a'].payload is not None
 
@@ -59,7 +59,7 @@
     servers = make_list(a=1)
     for revision in range(2, 602):
         deleted = {f'gone-{revision}': Entry(revision, None)}
-        servers.take(ChangeSet(revision - 1, revision, deleted))
+        servers.apply_changes(ChangeSet(revision - 1, revision, deleted))
     changes = servers.changes_since(5)
     assert changes.since == 0
     assert len(changes.entries) == 1 + 512
--- a/crankchute/core/server_notice.py
+++ b/crankchute/core/server_notice.py
@@ -11,26 +11,26 @@
 
     Attributes:
       is_leaving: Whether it is leaving and accepts no new requests, a bool.
-      rest_ms: For how long it asks this instance to send no requests, in
+      pause_ms: For how long it asks this instance to send no requests, in
         milliseconds; 0 if it doesn't.
       names_limit: Whether it names a limit, valid or not, a bool.
       limit: The requests a second that it accepts from all instances together,
         a float, or None if it names no valid limit.
     """
 
-    __slots__ = ('is_leaving', 'limit', 'names_limit', 'rest_ms')
+    __slots__ = ('is_leaving', 'limit', 'names_limit', 'pause_ms')
 
-    def __init__(self, *, is_leaving=False, rest_ms=0, limits=()):
+    def __init__(self, *, is_leaving=False, pause_ms=0, limits=()):
         """Create the notice.
 
         Args:
           is_leaving: See the class.
-          rest_ms: See the class.
+          pause_ms: See the class.
           limits: The limits in the answer, floats, and None for each that is
             not a number; the smallest one counts.
         """
         self.is_leaving = is_leaving
-        self.rest_ms = rest_ms
+        self.pause_ms = pause_ms
         self.names_limit = bool(limits)
         self.limit = min(
             (limit for limit in limits if limit is not None),
@@ -38,9 +38,9 @@
         )
 
     @property
-    def says_anything(self):
+    def has_content(self):
         """Whether the answer had any of these fields, a bool."""
-        return self.is_leaving or bool(self.rest_ms) or self.names_limit
+        return self.is_leaving or bool(self.pause_ms) or self.names_limit
 
 
 class ServerNotices:
@@ -75,27 +75,27 @@
           notice: Its ServerNotice.
           sent_ms: When the request was sent, on this process's clock.
         """
-        if notice.says_anything or self._limits.limit_of(backend.identity):
+        if notice.has_content or self._limits.limit_of(backend.identity):
             self._log_changes(backend, notice)
         if notice.is_leaving:
             # The store may say so many seconds later.
             self._fleet.note_drained(backend.identity)
-        if notice.rest_ms:
+        if notice.pause_ms:
             # The server looks idle, so it would be preferred to all others.
-            self._pause(backend.identity, notice.rest_ms)
+            self._pause(backend.identity, notice.pause_ms)
         # A limit ends with an answer that names none; an invalid one neither
         # sets nor ends it.
         if notice.limit is not None or not notice.names_limit:
-            self._limits.take(backend.identity, notice.limit, sent_ms)
+            self._limits.receive_answer(backend.identity, notice.limit, sent_ms)
 
     def _log_changes(self, backend, notice):
         """Log a notice, unless it only repeats the known limit."""
         is_known = notice.limit == self._limits.limit_of(backend.identity)
-        if notice.is_leaving or notice.rest_ms or not is_known:
+        if notice.is_leaving or notice.pause_ms or not is_known:
             self._journal.log_notice(backend, notice)
 
-    def _pause(self, identity, rest_ms):
-        until_ms = self._fleet.rests.note(identity, rest_ms)
+    def _pause(self, identity, pause_ms):
+        until_ms = self._fleet.rests.request_pause(identity, pause_ms)
         listed = self._fleet.get(identity)
         if listed is not None:
-            listed.leave_alone(until_ms)
+            listed.pause_until(until_ms)
--- a/crankchute/core/server_rests.py
+++ b/crankchute/core/server_rests.py
@@ -7,7 +7,7 @@
 """
 
 
-class ServerRests:
+class ServerPauses:
     """The end of the pause of each server that asked for one."""
 
     __slots__ = ('_clock', '_until_ms')
@@ -21,21 +21,21 @@
         self._clock = clock
         self._until_ms = {}
 
-    def note(self, identity, rest_ms):
+    def request_pause(self, identity, pause_ms):
         """Record a pause; it never shortens the one on record.
 
         Answers may arrive out of order, so a later one may be the older.
 
         Args:
           identity: The server's identity.
-          rest_ms: The length of the pause from now on, in milliseconds.
+          pause_ms: The length of the pause from now on, in milliseconds.
         Returns:
           The end of the pause, on this process's clock.
         """
-        self.keep(identity, self._clock.now_ms() + rest_ms)
+        self.pause_until(identity, self._clock.now_ms() + pause_ms)
         return self.until_ms(identity)
 
-    def keep(self, identity, until_ms):
+    def pause_until(self, identity, until_ms):
         """Record the end of a pause; it never shortens the one on record.
 
         Args:
--- a/crankchute/core/server_rests_test.py
+++ b/crankchute/core/server_rests_test.py
@@ -30,8 +30,8 @@
     def backend(self):
         return self.fleet.get('a')
 
-    def request_pause(self, rest_ms, backend=None):
-        notice = ServerNotice(rest_ms=rest_ms)
+    def request_pause(self, pause_ms, backend=None):
+        notice = ServerNotice(pause_ms=pause_ms)
         self.notices.take(backend or self.backend, notice, 0)
 
 
@@ -47,10 +47,10 @@
 )
 def test_latest_end_of_pause_counts(pauses, until_ms):
     world = World()
-    for at_ms, rest_ms in pauses:
+    for at_ms, pause_ms in pauses:
         world.timers.advance(at_ms - world.timers.clock.now_ms())
-        world.request_pause(rest_ms)
-    assert world.backend.refused_until_ms == until_ms
+        world.request_pause(pause_ms)
+    assert world.backend.paused_until_ms == until_ms
 
 
 def test_pause_outlasts_the_entry():
@@ -63,7 +63,7 @@
     world.request_pause(9000, before)
     world.fleet.put(make_listed('a'))
     assert world.backend is not before
-    assert world.backend.refused_until_ms == 9100
+    assert world.backend.paused_until_ms == 9100
 
 
 def test_pause_reported_by_another_server_outlasts_the_entry():
@@ -72,11 +72,11 @@
     Such a pause is set on the Backend only, which goes with its entry.
     """
     world = World()
-    world.backend.leave_alone(3000)
+    world.backend.pause_until(3000)
     world.fleet.remove('a', may_lapse=False)
     world.timers.advance(100)
     world.fleet.put(make_listed('a'))
-    assert world.backend.refused_until_ms == 3000
+    assert world.backend.paused_until_ms == 3000
 
 
 def test_pause_does_not_apply_after_a_restart():
@@ -86,5 +86,5 @@
     world.request_pause(9000, first)
     world.fleet.put(make_listed('a', born=2))
     second = next(iter(world.fleet))
-    assert first.refused_until_ms == 9000
-    assert second.refused_until_ms == 0
+    assert first.paused_until_ms == 9000
+    assert second.paused_until_ms == 0
--- a/crankchute/core/sharing.py
+++ b/crankchute/core/sharing.py
@@ -131,7 +131,7 @@
         view.active_digest = briefing.digest
         view.crash_digest = briefing.crash_digest
         if briefing.crashes is not None:
-            self._parts.crashes.take(briefing.crashes)
+            self._parts.crashes.merge_report(briefing.crashes)
         self.instances.record_subscription(briefing)
         for batch in view.feed.receive(briefing, now_ms):
             apply_batch(self._parts.board, briefing.instance, batch)
@@ -269,7 +269,7 @@
             lacks_work=view.feed.is_incomplete(self._now_ms()),
             batch=view.feed.make_batch(news, self._own_works),
             crash_digest=crashes.digest,
-            crashes=crashes.tell() if must_report else None,
+            crashes=crashes.make_report() if must_report else None,
         )
 
     def _own_works(self):
@@ -290,7 +290,7 @@
       proof_age_ms: A function that returns how many milliseconds ago this
         instance's configuration was confirmed to be the newest, or None.
       board: The EngineBoard.
-      crashes: The CrashLedger.
+      crashes: The CrashHistory.
       make_briefing: A function that returns a Briefing.  Its keyword arguments
         are the Briefing's attributes that Sharing provides.
       take: A function that processes a received Briefing.  Its second argument
--- a/crankchute/core/sharing_test.py
+++ b/crankchute/core/sharing_test.py
@@ -9,7 +9,7 @@
 from crankchute.core.engine_fakes import make_work
 from crankchute.core.active_choice import Ranking, count_active
 from crankchute.core.briefing import Briefing
-from crankchute.core.crash_ledger import CrashLedger
+from crankchute.core.crash_ledger import CrashHistory
 from crankchute.core.engine_board import Change, EngineBoard
 from crankchute.core.fakes import ManualTimers
 from crankchute.core.membership import Member
@@ -37,7 +37,7 @@
         self.received = []
         self.boot_ids = {}
         self.boards = {}
-        self.ledgers = {}
+        self.histories = {}
         self.instances = {name: self._make(name) for name in names}
 
     def list_known(self, name):
@@ -69,7 +69,7 @@
 
     def _make(self, name):
         self.boards[name] = EngineBoard(self.timers.clock.now_ms)
-        self.ledgers[name] = CrashLedger(self.timers.clock.now_ms)
+        self.histories[name] = CrashHistory(self.timers.clock.now_ms)
         parts = SharingParts(
             timers=self.timers,
             random=random.Random(1),
@@ -81,7 +81,7 @@
             is_serving=lambda: name not in self.stopping,
             proof_age_ms=lambda: self.proof_ages.get(name, 10),
             board=self.boards[name],
-            crashes=self.ledgers[name],
+            crashes=self.histories[name],
             make_briefing=lambda **exchanged: self._make_briefing(
                 name, **exchanged
             ),
@@ -494,15 +494,15 @@
     for server in servers:
         fleet.timers.advance(100)
         now_ms = fleet.timers.clock.now_ms()
-        fleet.ledgers[name].note_crash(server, now_ms, [CRASHING_REQUEST])
+        fleet.histories[name].note_crash(server, now_ms, [CRASHING_REQUEST])
 
 
 def list_holders(fleet):
     """Return the names of the instances that hold the crashing request."""
     return {
         name
-        for name, ledger in fleet.ledgers.items()
-        if ledger.is_held(CRASHING_REQUEST)
+        for name, history in fleet.histories.items()
+        if history.is_quarantined(CRASHING_REQUEST)
     }
 
 
--- a/crankchute/core/suspicion.py
+++ b/crankchute/core/suspicion.py
@@ -18,7 +18,7 @@
 LEAST_FAILURES = 0.1
 
 
-class Signs:
+class OutcomeCounts:
     """Decaying counts of the outcomes of requests at a server.
 
     Attributes:
@@ -55,14 +55,14 @@
         return self
 
 
-class Suspicion:
+class FailureEstimator:
     """Outcome counts of one server, from this and from other instances."""
 
     __slots__ = ('_others', '_own')
 
     def __init__(self):
         """Create the record of a server without requests."""
-        self._own = Signs(float(0), float(0), 0)
+        self._own = OutcomeCounts(float(0), float(0), 0)
         self._others = {}
 
     def note_failure(self, now_ms, weight=1):
@@ -91,24 +91,24 @@
         """
         self._own.decay(now_ms).successes += 1
 
-    def hear(self, instance, signs):
+    def merge_remote(self, instance, signs):
         """Store the counts of another instance's own requests.
 
         Args:
           instance: Its id; its earlier counts are replaced.
-          signs: Signs.
+          signs: OutcomeCounts.
         """
         self._others[instance] = signs
 
-    def own_signs(self, now_ms):
-        """Return the counts of this instance's requests, Signs.
+    def local_counts(self, now_ms):
+        """Return the counts of this instance's requests, OutcomeCounts.
 
         Args:
           now_ms: The time.
         """
         return self._own.decay(now_ms)
 
-    def chance(self, now_ms):
+    def failure_probability(self, now_ms):
         """Return the estimated failure rate, from 0 to 1.
 
         Args:
--- a/crankchute/core/suspicion_test.py
+++ b/crankchute/core/suspicion_test.py
@@ -12,7 +12,7 @@
     make_parts,
 )
 from crankchute.core.forward_job import PromptSize
-from crankchute.core.suspicion import Signs, Suspicion
+from crankchute.core.suspicion import OutcomeCounts, FailureEstimator
 from crankchute.errors import BackendError
 from crankchute.ports.forwarding import AnswerHead
 
@@ -37,20 +37,20 @@
 def test_estimate_is_the_decayed_failure_rate(
     failures, successes, received, age_ms, rate
 ):
-    suspicion = Suspicion()
+    suspicion = FailureEstimator()
     for _ in range(failures):
         suspicion.note_failure(0)
     for _ in range(successes):
         suspicion.note_success(0)
     if received is not None:
-        suspicion.hear('another', Signs(*received, 0))
-    assert round(suspicion.chance(age_ms), 2) == rate
+        suspicion.merge_remote('another', OutcomeCounts(*received, 0))
+    assert round(suspicion.failure_probability(age_ms), 2) == rate
 
 
 def test_own_counts_exclude_those_of_other_instances():
-    suspicion = Suspicion()
-    suspicion.hear('another', Signs(3, 0, 0))
-    assert not suspicion.own_signs(0).failures
+    suspicion = FailureEstimator()
+    suspicion.merge_remote('another', OutcomeCounts(3, 0, 0))
+    assert not suspicion.local_counts(0).failures
 
 
 @pytest.mark.parametrize('chooser_class', [LeastBusyChooser, EngineChooser])
@@ -60,7 +60,7 @@
     chooser = chooser_class(make_parts(timers, lambda: backends))
     job = make_job(size=SHORT)
     first = chooser.choose(job, set()).backend
-    first.suspicion.hear('another', Signs(1, 0, 0))
+    first.suspicion.merge_remote('another', OutcomeCounts(1, 0, 0))
     assert chooser.choose(job, set()).backend is not first
     timers.advance(60_000)
     assert chooser.choose(job, set()).backend is first
@@ -74,7 +74,7 @@
     timers = ManualTimers()
     backends = make_backends(8)
     for backend in backends[4:6]:
-        backend.suspicion.hear('another', Signs(1, 19, 0))
+        backend.suspicion.merge_remote('another', OutcomeCounts(1, 19, 0))
     chooser = EngineChooser(make_parts(timers, lambda: backends))
     chosen = []
     for _ in range(35):
@@ -90,7 +90,7 @@
 def test_failing_servers_are_chosen_if_there_is_no_other(chooser_class):
     backends = make_backends(2)
     for backend in backends:
-        backend.suspicion.hear('another', Signs(9, 0, 0))
+        backend.suspicion.merge_remote('another', OutcomeCounts(9, 0, 0))
     chooser = chooser_class(make_parts(ManualTimers(), lambda: backends))
     assert chooser.choose(make_job(size=SHORT), set()).backend in backends
 
@@ -108,7 +108,7 @@
     world.submit()
     call = world.port.calls[0]
     end(call.listener)
-    signs = call.placement.backend.suspicion.own_signs(0)
+    signs = call.placement.backend.suspicion.local_counts(0)
     assert round(signs.failures, 1) == failures
 
 
--- a/crankchute/core/turn_lending_test.py
+++ b/crankchute/core/turn_lending_test.py
@@ -34,7 +34,7 @@
     def advertise(self, **limits):
         for server, limit in limits.items():
             now_ms = self.timers.clock.now_ms()
-            self.limits.words.take(server, limit, now_ms)
+            self.limits.words.receive_answer(server, limit, now_ms)
 
 
 def test_permit_is_lent_where_most_are_left_and_counted():
--- a/crankchute/entry/crash_gossip.py
+++ b/crankchute/entry/crash_gossip.py
@@ -9,13 +9,13 @@
 class CrashGossip:
     """Tells other instances what this one remembers of crashes, where it differs."""
 
-    def __init__(self, ledger):
+    def __init__(self, history):
         """Create the teller.
 
         Args:
-          ledger: The CrashLedger.
+          history: The CrashHistory.
         """
-        self._ledger = ledger
+        self._history = history
         self._heard = {}
 
     def add_to(self, gossip, address, now_ms):
@@ -26,9 +26,11 @@
           address: The receiver's "IP:port", or None if it is not known.
           now_ms: The time on this process's clock.
         """
-        gossip.crash_digest = self._ledger.digest
+        gossip.crash_digest = self._history.digest
         if self._heard.get(address, 0) != gossip.crash_digest:
-            gossip.crashes.CopyFrom(write_crashes(self._ledger.tell(), now_ms))
+            gossip.crashes.CopyFrom(
+                write_crashes(self._history.make_report(), now_ms)
+            )
 
     def take(self, gossip, address, now_ms):
         """Take what another instance told.
@@ -43,4 +45,4 @@
         self._heard[address] = gossip.crash_digest
         news = read_crashes(gossip, now_ms)
         if news is not None:
-            self._ledger.take(news)
+            self._history.merge_report(news)
--- a/crankchute/entry/crash_gossip_test.py
+++ b/crankchute/entry/crash_gossip_test.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from crankchute.core.crash_ledger import CrashLedger
+from crankchute.core.crash_ledger import CrashHistory
 from crankchute.core.fakes import ManualClock
 from crankchute.entry.crash_gossip import CrashGossip
 from crankchute.proto import peer_pb2
@@ -16,16 +16,19 @@
 
     def __init__(self):
         self.clock = ManualClock()
-        self.ledgers = {name: CrashLedger(self.clock.now_ms) for name in NAMES}
+        self.histories = {
+            name: CrashHistory(self.clock.now_ms) for name in NAMES
+        }
         self.gossips = {
-            name: CrashGossip(ledger) for name, ledger in self.ledgers.items()
+            name: CrashGossip(history)
+            for name, history in self.histories.items()
         }
         self.told = 0
 
     def crash(self, name, server):
         self.clock.time_ms += 100
         now_ms = self.clock.time_ms
-        self.ledgers[name].note_crash(server, now_ms, [CULPRIT])
+        self.histories[name].note_crash(server, now_ms, [CULPRIT])
 
     def probe(self, asker, asked):
         """Exchange gossip in both directions."""
@@ -34,7 +37,9 @@
 
     def holding(self):
         return {
-            name for name, one in self.ledgers.items() if one.is_held(CULPRIT)
+            name
+            for name, one in self.histories.items()
+            if one.is_quarantined(CULPRIT)
         }
 
     def _pass(self, teller, hearer):
@@ -71,8 +76,8 @@
     for number in range(3):
         world.crash('a', f's{number}')
     world.probe('a', 'b')
-    world.ledgers['b'] = CrashLedger(world.clock.now_ms)
-    world.gossips['b'] = CrashGossip(world.ledgers['b'])
+    world.histories['b'] = CrashHistory(world.clock.now_ms)
+    world.gossips['b'] = CrashGossip(world.histories['b'])
     assert world.holding() == {'a'}
     world.probe('b', 'a')
     assert world.holding() == {'a', 'b'}
--- a/crankchute/entry/forward_node.py
+++ b/crankchute/entry/forward_node.py
@@ -15,7 +15,7 @@
 from crankchute.adapters.log import log_change
 from crankchute.adapters.metrics import PrometheusMetrics
 from crankchute.core.choosers import LEAST_BUSY, ChooserParts, choosers
-from crankchute.core.crash_ledger import CrashLedger
+from crankchute.core.crash_ledger import CrashHistory
 from crankchute.core.engine_board import EngineBoard
 from crankchute.core.engine_chooser import PREDICTED
 from crankchute.core.forward_config import ForwardConfigHolder
@@ -118,7 +118,7 @@
         still serving callers that hold old ones).
       journal: The ForwardJournal.
       servers: The ServerList, as the platform publishes it.
-      crashes: The CrashLedger.
+      crashes: The CrashHistory.
       on_serving: Called when the instance begins to serve.
       on_draining: Called when stopping begins.
       on_stopped: Called when nothing is left to do.
@@ -147,7 +147,7 @@
         self.fleet = ForwardFleet(loop.timers, wiring.pool_label)
         self.servers = ServerList()
         self.board = EngineBoard(self.now_ms)
-        self.crashes = CrashLedger(self.now_ms, self._on_held)
+        self.crashes = CrashHistory(self.now_ms, self._on_held)
         self._hints = ReturnHints(self.random)
         self._limits = limits
         self._is_connected = wiring.port.is_connected
@@ -310,7 +310,7 @@
         return [
             one
             for one in self.fleet.members_of(self.fleet.pool_of(backend))
-            if limit_of(one.identity) is None and now_ms >= one.refused_until_ms
+            if limit_of(one.identity) is None and now_ms >= one.paused_until_ms
         ]
 
     def _note_report(self, backend, load):
--- a/crankchute/entry/forward_node_test.py
+++ b/crankchute/entry/forward_node_test.py
@@ -4,7 +4,7 @@
 
 from crankchute.adapters.loop import Loop
 from crankchute.core.engine_fakes import FakeReports
-from crankchute.core.fleet import Listed
+from crankchute.core.fleet import ListedServer
 from crankchute.core.forward_config import ForwardConfig, PoolConfig
 from crankchute.core.forward_fakes import (
     POOL,
@@ -14,7 +14,7 @@
     make_figures,
     make_job,
 )
-from crankchute.core.seen_load import SeenLoad
+from crankchute.core.seen_load import ReportedLoad
 from crankchute.core.sliding_budget import RetryLimits
 from crankchute.entry.forward_node import (
     ForwardLimits,
@@ -89,7 +89,7 @@
     def list_server(self, born):
         """Take the entry of the server, as it started at some time."""
         self.node.fleet.put(
-            Listed(
+            ListedServer(
                 {
                     'id': 's1',
                     'kind': 'backend',
@@ -154,7 +154,7 @@
 
 def test_report_may_tell_first_that_an_engine_started_again():
     world = World(make_figures())
-    load = SeenLoad(3, born=200)
+    load = ReportedLoad(3, born=200)
     world.reports.loads['s1@100'] = load
     world.submit()
     assert world.node.fleet.get('s1@100') is None
--- a/crankchute/entry/forward_peers.py
+++ b/crankchute/entry/forward_peers.py
@@ -317,7 +317,7 @@
             drained=node.fleet.drained(),
             gone=node.fleet.gone(),
             impressions=self._list_impressions(),
-            limits=self.limits.words.tell(),
+            limits=self.limits.words.list_updates(),
             **told,
         )
 
@@ -326,7 +326,7 @@
         self.membership.merge(briefing.active)
         self._take_servers(briefing)
         self._take_impressions(briefing)
-        self.limits.words.hear(briefing.limits)
+        self.limits.words.merge_updates(briefing.limits)
         self._fetch(briefing, _CONFIG, briefing.version)
         self._fetch(briefing, _SERVERS, briefing.servers_revision)
         if asked_ms is None:
@@ -357,7 +357,7 @@
         for one in briefing.impressions:
             backend = self._node.fleet.get(one.server)
             if backend is not None:
-                backend.suspicion.hear(briefing.instance, one.signs)
+                backend.suspicion.merge_remote(briefing.instance, one.signs)
 
     def _fetch(self, briefing, store, revision):
         """Fetch what the teller has of a published store, if it is newer."""
@@ -395,7 +395,7 @@
     """
     impressions = []
     for backend in node.fleet:
-        signs = backend.suspicion.own_signs(now_ms)
+        signs = backend.suspicion.local_counts(now_ms)
         if signs.failures > LEAST_FAILURES:
             impressions.append(Impression(backend.identity, signs))
     return impressions
--- a/crankchute/entry/forward_peers_test.py
+++ b/crankchute/entry/forward_peers_test.py
@@ -12,14 +12,14 @@
     servers = ServerList()
     if revisions:
         entries = {f's{one}': Entry(one, b'{}') for one in revisions}
-        servers.take_all(entries, max(revisions))
+        servers.replace_all(entries, max(revisions))
     return servers
 
 
 def make_exchange(servers, taken):
     def take(changes):
         taken.append(changes)
-        servers.take(changes)
+        servers.apply_changes(changes)
         return True
 
     return ServersExchange(servers, take)
@@ -39,7 +39,9 @@
 
 def test_only_what_changed_since_is_handed_over():
     servers = make_list(1, 2)
-    servers.take(ChangeSet(2, 5, {'s1': Entry(4, None), 's9': Entry(5, b'{}')}))
+    servers.apply_changes(
+        ChangeSet(2, 5, {'s1': Entry(4, None), 's9': Entry(5, b'{}')})
+    )
     changes = make_exchange(servers, []).changes_for(2, 2)
     assert changes.since == 2
     assert set(changes.entries) == {'s1', 's9'}
--- a/crankchute/entry/forward_state.py
+++ b/crankchute/entry/forward_state.py
@@ -36,7 +36,9 @@
         'servers_drained': node.fleet.list_drained(),
         'servers_gone': node.fleet.gone(),
         'requests_in_progress': node.desk.in_progress,
-        'requests_held': [_dump_held(one, now_ms) for one in node.crashes.held],
+        'requests_held': [
+            _dump_held(one, now_ms) for one in node.crashes.quarantined
+        ],
         'crashes_remembered': len(node.crashes),
         'counters': _dump_counters(node.metrics.counts),
     }
@@ -63,7 +65,7 @@
         'state': backend.listed.state,
         'in_flight': backend.in_flight,
         'left_alone': backend.breaker.is_open,
-        'rests_for_ms': round(max(backend.refused_until_ms - node.now_ms(), 0)),
+        'rests_for_ms': round(max(backend.paused_until_ms - node.now_ms(), 0)),
         'limit': node.peers.limits.words.limit_of(backend.identity),
         'next_turn_ms': round(
             node.peers.limits.turns.wait_ms(backend.identity)
--- a/crankchute/entry/forward_state_test.py
+++ b/crankchute/entry/forward_state_test.py
@@ -27,7 +27,7 @@
 
 def test_state_tells_which_servers_rest():
     node = World().node
-    node.fleet.rests.note('a', 60_000)
+    node.fleet.rests.request_pause('a', 60_000)
     node.fleet.put(make_listed('a'))
     node.fleet.put(make_listed('b'))
     rests_ms = {
--- a/crankchute/entry/inventory.py
+++ b/crankchute/entry/inventory.py
@@ -2,7 +2,7 @@
 
 import orjson
 
-from crankchute.core.fleet import KIND_ENTRY, Listed
+from crankchute.core.fleet import KIND_ENTRY, ListedServer
 from crankchute.core.replica import Replica
 from crankchute.errors import Finding, StaleRevisionError
 
@@ -11,7 +11,7 @@
     """Holds the newest instance list; its revision only rises.
 
     Attributes:
-      records: The Listed records, a list.
+      records: The ListedServer records, a list.
       findings: What is wrong with records that were left out, a list.
     """
 
@@ -36,7 +36,7 @@
         """Be told of each new list.
 
         Args:
-          listener: A function of a list of Listed.
+          listener: A function of a list of ListedServer.
         """
         self._listeners.append(listener)
 
@@ -68,12 +68,12 @@
         return True
 
     def entry_instances(self):
-        """Return the listed entry instances, a list of Listed."""
+        """Return the listed entry instances, a list of ListedServer."""
         return [one for one in self.records if one.kind == KIND_ENTRY]
 
     def _read_record(self, key, document):
         """Take one record, or a finding; the others are not lost by it."""
         try:
-            self.records.append(Listed(orjson.loads(document)))
+            self.records.append(ListedServer(orjson.loads(document)))
         except (KeyError, TypeError, ValueError) as exc:
             self.findings.append(Finding(f'instances.{key}', repr(exc)))
--- a/crankchute/entry/peering.py
+++ b/crankchute/entry/peering.py
@@ -61,7 +61,7 @@
           parts: An object with `timers`, `peer_client`, `random`, `metrics`.
           own: This instance's Member.
           stores: A map from "config" and "instances" to their holders.
-          crashes: A CrashLedger that is told of with gossip, or None.
+          crashes: A CrashHistory that is told of with gossip, or None.
         """
         self._timers = parts.timers
         self._client = parts.peer_client
@@ -145,7 +145,7 @@
         """Add the listed entry instances that nobody told of yet.
 
         Args:
-          listed: Listed records of entry instances.
+          listed: ListedServer records of entry instances.
         """
         members = [
             Member(
--- a/crankchute/entry/turn_lending_test.py
+++ b/crankchute/entry/turn_lending_test.py
@@ -33,7 +33,7 @@
             lambda _one: None,
         )
         self.timers.advance(_WINDOW_MS)
-        self.limits.words.take('a', 1, _WINDOW_MS)
+        self.limits.words.receive_answer('a', 1, _WINDOW_MS)
 
     def ask(self, *servers):
         """Return where a turn is lent, or an empty string."""
@@ -56,12 +56,12 @@
 
 def rest(world):
     """Let the server rest here, where the turn is counted."""
-    world.fleet.get('a').leave_alone(60_000)
+    world.fleet.get('a').pause_until(60_000)
 
 
 def end_limit(world):
     """Let the server name no limit any more."""
-    world.limits.words.take('a', None, _WINDOW_MS)
+    world.limits.words.receive_answer('a', None, _WINDOW_MS)
 
 
 def use_up(world):
--- a/crankchute/errors.py
+++ b/crankchute/errors.py
@@ -65,21 +65,21 @@
 
     Attributes:
       sent: False if it is proved that no byte left for the backend.
-      cut: Whether the connection ended, and not by this side, before the
+      connection_lost: Whether the connection ended, and not by this side, before the
         answer was whole, a bool.
     """
 
-    def __init__(self, text, *, sent, cut=False):
+    def __init__(self, text, *, sent, connection_lost=False):
         """Create the exception.
 
         Args:
           text: What happened.
           sent: False if it is proved that no byte left for the backend.
-          cut: See the class.
+          connection_lost: See the class.
         """
         super().__init__(text)
         self.sent = sent
-        self.cut = cut
+        self.connection_lost = connection_lost
 
 
 class RequestRefused(CrankchuteError):
--- a/crankchute/platform/backend_calls.py
+++ b/crankchute/platform/backend_calls.py
@@ -107,7 +107,9 @@
             self._listener.on_not_run(self._rejection)
         elif self._cutter.has_rest:
             text = 'the stream ended within an event'
-            self._listener.on_failed(BackendError(text, sent=True, cut=True))
+            self._listener.on_failed(
+                BackendError(text, sent=True, connection_lost=True)
+            )
         else:
             self._listener.on_end()
 
@@ -212,7 +214,7 @@
         return Rejection(
             'full' if full else 'rejected',
             headers.get(FAULTY_SERVER),
-            read_notice(status, headers).rest_ms,
+            read_notice(status, headers).pause_ms,
         )
     return None
 
--- a/crankchute/platform/backend_calls_test.py
+++ b/crankchute/platform/backend_calls_test.py
@@ -11,7 +11,7 @@
 
 from crankchute.adapters.http_client import HttpClient
 from crankchute.adapters.loop import Loop
-from crankchute.core.fleet import Backend, Listed
+from crankchute.core.fleet import Backend, ListedServer
 from crankchute.core.forward_fakes import make_job
 from crankchute.core.forward_job import AttemptOrder, Helper, Placement, Repeat
 from crankchute.platform.backend_calls import BackendCalls
@@ -69,7 +69,7 @@
         self.listening.setblocking(False)
         port = self.listening.getsockname()[1]
         self.backend = Backend(
-            Listed(
+            ListedServer(
                 {
                     'id': 'i-1',
                     'kind': 'backend',
--- a/crankchute/platform/engine_reports.py
+++ b/crankchute/platform/engine_reports.py
@@ -5,7 +5,7 @@
 from crankchute.adapters.http_client import CallOptions, build_request
 from crankchute.adapters.log import log_change
 from crankchute.core.load_survey import ReportPort
-from crankchute.core.seen_load import SeenLoad
+from crankchute.core.seen_load import ReportedLoad
 from crankchute.platform.wire import REPORT_PATH
 from crankchute.ports.http import WholeResponse
 
@@ -48,7 +48,7 @@
 
 
 def read_report(body):
-    """Return the SeenLoad of a report, or None if it is none.
+    """Return the ReportedLoad of a report, or None if it is none.
 
     Args:
       body: The bytes of the answer.
@@ -64,7 +64,7 @@
     requests = _read_count(document, 'running')
     requests += _read_count(document, 'waiting')
     born = _read_count(document, 'born') if 'born' in document else None
-    return SeenLoad(requests, born)
+    return ReportedLoad(requests, born)
 
 
 def _read_count(document, name):
@@ -75,7 +75,7 @@
 
 
 def read_told_load(text):
-    """Return the SeenLoad that an answer's header tells, or None.
+    """Return the ReportedLoad that an answer's header tells, or None.
 
     Args:
       text: Requests running, requests waiting and slots, joined by commas, or
@@ -87,7 +87,7 @@
     waiting = rest.partition(',')[0]
     if not (running.strip().isdecimal() and waiting.strip().isdecimal()):
         return None
-    return SeenLoad(int(running) + int(waiting))
+    return ReportedLoad(int(running) + int(waiting))
 
 
 def _ignore(_status, _body):
--- a/crankchute/platform/forwarding_test.py
+++ b/crankchute/platform/forwarding_test.py
@@ -11,10 +11,10 @@
 from crankchute.adapters.http_client import HttpClient
 from crankchute.adapters.loop import Loop
 from crankchute.core.choosers import ChooserParts
-from crankchute.core.crash_ledger import CrashLedger
+from crankchute.core.crash_ledger import CrashHistory
 from crankchute.core.engine_board import EngineBoard
 from crankchute.core.engine_chooser import EngineChooser
-from crankchute.core.fleet import Backend, Listed
+from crankchute.core.fleet import Backend, ListedServer
 from crankchute.core.forward_config import PoolConfig
 from crankchute.core.forward_desk import ForwardDesk, ForwardPorts
 from crankchute.core.forward_fakes import (
@@ -82,7 +82,7 @@
             journal=FakeJournal(),
             reservations=reservations,
             hints=ReturnHints(random.Random(1)),
-            crashes=CrashLedger(self.loop.timers.clock.now_ms),
+            crashes=CrashHistory(self.loop.timers.clock.now_ms),
             note_moved=self.moved.append,
             chooser_of=lambda _pool: chooser,
         )
@@ -160,7 +160,7 @@
 
 def _list_engine(engine):
     return Backend(
-        Listed(
+        ListedServer(
             {
                 'id': engine.identity,
                 'kind': 'backend',
--- a/crankchute/platform/published.py
+++ b/crankchute/platform/published.py
@@ -85,7 +85,7 @@
             }
             listed = self._sift(found)
             came_back = self._came_back(at)
-            self._servers.take_all(found, at)
+            self._servers.replace_all(found, at)
             self._list_all(found, listed, came_back=came_back)
         if asked_ms is not None:
             self._servers.prove(self._servers.revision, asked_ms)
@@ -121,7 +121,7 @@
             return False
         listed = self._sift(changes.entries)
         came_back = self._came_back(changes.revision)
-        self._servers.take(changes)
+        self._servers.apply_changes(changes)
         if changes.since:
             self._take_changed(changes.entries, listed)
         else:
@@ -134,7 +134,7 @@
         Args:
           entries: A map from id to Entry; changed where needed.
         Returns:
-          A map from id to Listed.
+          A map from id to ListedServer.
         """
         listed = {}
         for identity, entry in entries.items():
--- a/crankchute/platform/server_calls.py
+++ b/crankchute/platform/server_calls.py
@@ -120,11 +120,11 @@
       A ServerNotice.
     """
     is_leaving = headers.get(LEAVING, '').strip() == _YES
-    rest_ms = 0
+    pause_ms = 0
     if status == HTTPStatus.SERVICE_UNAVAILABLE:
-        rest_ms = read_retry_after_ms(headers.get(RETRY_AFTER))
+        pause_ms = read_retry_after_ms(headers.get(RETRY_AFTER))
     return ServerNotice(
         is_leaving=is_leaving,
-        rest_ms=rest_ms,
+        pause_ms=pause_ms,
         limits=read_limits(limits),
     )
--- a/crankchute/platform/server_calls_test.py
+++ b/crankchute/platform/server_calls_test.py
@@ -9,9 +9,9 @@
 
 def describe(notice):
     """Return what a notice says, a pair, or None if it says nothing."""
-    if not notice.says_anything:
+    if not notice.has_content:
         return None
-    return notice.is_leaving, notice.rest_ms
+    return notice.is_leaving, notice.pause_ms
 
 
 @pytest.mark.parametrize(
--- a/crankchute/platform/server_entries.py
+++ b/crankchute/platform/server_entries.py
@@ -9,7 +9,7 @@
 
 import orjson
 
-from crankchute.core.fleet import LEAVING, LIVE, Listed, parse_address
+from crankchute.core.fleet import LEAVING, LIVE, ListedServer, parse_address
 from crankchute.errors import ConfigError, Finding
 
 #: The label of a backend server that names its pool.
@@ -31,7 +31,7 @@
       identity: The id under which the entry stands, the last part of its key.
       payload: The bytes of the entry.
     Returns:
-      A Listed.
+      A ListedServer.
     Raises:
       ConfigError: If it is no entry of a server.
     """
@@ -54,7 +54,7 @@
     wrong = _find_wrong(document)
     if wrong is not None:
         raise ValueError(f'{wrong} is missing or not as it should be')
-    return Listed(
+    return ListedServer(
         {
             'id': identity,
             'kind': BACKEND_KIND,
--- a/crankchute/platform/standin_world.py
+++ b/crankchute/platform/standin_world.py
@@ -10,7 +10,7 @@
 
 from crankchute.adapters.http_client import HttpClient
 from crankchute.adapters.loop import Loop
-from crankchute.core.fleet import Listed
+from crankchute.core.fleet import ListedServer
 from crankchute.core.forward_config import ForwardConfig, PoolConfig
 from crankchute.core.forward_fakes import (
     POOL,
@@ -266,8 +266,8 @@
 
 
 def list_engine(engine):
-    """Return the Listed record of a StandinEngine."""
-    return Listed(
+    """Return the ListedServer record of a StandinEngine."""
+    return ListedServer(
         {
             'id': engine.identity,
             'kind': 'backend',
--- a/crankchute/ports/forwarding.py
+++ b/crankchute/ports/forwarding.py
@@ -18,7 +18,7 @@
     Attributes:
       status: The HTTP status, an int.
       headers: Pairs of name and text, without those of one connection only.
-      load: The SeenLoad that the server told with it, or None.
+      load: The ReportedLoad that the server told with it, or None.
     """
 
     __slots__ = ('headers', 'load', 'status')
@@ -29,7 +29,7 @@
         Args:
           status: An int.
           headers: Pairs of name and text.
-          load: A SeenLoad or None.
+          load: A ReportedLoad or None.
         """
         self.status = status
         self.headers = headers
