--- a/bench/ablations.py
+++ b/bench/ablations.py
@@ -125,8 +125,8 @@
 _leave_out(
     'harm to what waits',
     f'{_CORE}/engine_plans.py',
-    'if goes_first:',
-    'if goes_first and not self:',
+    'if is_prioritized:',
+    'if is_prioritized and not self:',
 )
 _leave_out(
     'refusals for harm',
--- a/bench/choice_cost.py
+++ b/bench/choice_cost.py
@@ -11,7 +11,7 @@
 import time
 
 from crankchute.core.engine_chooser import EngineChooser
-from crankchute.core.engine_fakes import make_work
+from crankchute.core.engine_fakes import make_work_item
 from crankchute.core.fakes import ManualTimers
 from crankchute.core.forward_fakes import make_backends, make_job, make_parts
 from crankchute.core.forward_job import PromptSize
@@ -37,8 +37,8 @@
     for backend in backends:
         if parts.random.random() < _WRITING:
             key = f'writer-{backend.identity}'
-            parts.board.add(make_work(key, backend.identity))
-            parts.board.start(backend.identity, key)
+            parts.work_tracker.add(make_work_item(key, backend.identity))
+            parts.work_tracker.start(backend.identity, key)
     return EngineChooser(parts)
 
 
--- a/bench/local_fleet.py
+++ b/bench/local_fleet.py
@@ -252,4 +252,4 @@
 def _note_events(prefix, events, now_ms):
     for event in events:
         prefix.note_event(event.sequence, event.stored, event.evicted, now_ms)
-    prefix.note_fresh(now_ms)
+    prefix.note_up_to_date(now_ms)
--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -296,7 +296,7 @@
         'a request that is held is sent with a turn of others',
         'crankchute/core/request_placing_test.py',
         'crankchute/core/request_placing.py',
-        'if isinstance(choice, Placement) or choice.code != NOT_WANTED:',
+        'if isinstance(choice, Placement) or choice.code != PAUSED_OR_LIMITED:',
         'if isinstance(choice, Placement):',
     ),
     Mutation(
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -14,7 +14,7 @@
 from bench.pass_engines import FreeMemory, PassEngines
 from crankchute.core.choosers import choosers
 from crankchute.core.crash_ledger import CrashHistory
-from crankchute.core.engine_board import EngineBoard
+from crankchute.core.engine_board import EngineWorkTracker
 from crankchute.core.engine_chooser import PREDICTED, EngineChooser
 from crankchute.core.fakes import ManualTimers
 from crankchute.core.forward_desk import ForwardDesk, ForwardPorts
@@ -35,7 +35,7 @@
 from crankchute.ports.metrics import Metrics
 
 #: A chooser that refuses nobody, for comparison.
-SENDS_ALL = 'predicted, sends all'
+ADMITS_ALL = 'predicted, sends all'
 LOADS = (0.25, 0.5, 1, 1.5, 2, 3, 4)
 _WINDOW_MS = 10_000
 _LATE_PART = 0.25
@@ -85,11 +85,11 @@
 )
 
 
-@choosers.register(SENDS_ALL)
-class SendsAll(EngineChooser):
+@choosers.register(ADMITS_ALL)
+class AdmitAllChooser(EngineChooser):
     """Places every prompt, whomever that harms."""
 
-    def _sends(self, job, plan):
+    def _is_admitted(self, job, plan):
         return True
 
 
@@ -194,7 +194,7 @@
         parts.pool.figures = figures
         parts.random = self._random
         parts.hints = ReturnHints(self._random)
-        parts.board = EngineBoard(self.timers.clock.now_ms)
+        parts.work_tracker = EngineWorkTracker(self.timers.clock.now_ms)
         chosen = choosers[chooser](parts)
         journal = FakeJournal()
         reservations = ReservationDesk(
@@ -281,7 +281,7 @@
     parser.add_argument('--plot', type=Path, help='a picture to write')
     flags = parser.parse_args()
     curves = {}
-    for name in (PREDICTED, SENDS_ALL):
+    for name in (PREDICTED, ADMITS_ALL):
         curves[name] = [
             measure_goodput(name, load, flags.engines, flags.seed)
             for load in LOADS
--- a/bench/pass_engines.py
+++ b/bench/pass_engines.py
@@ -9,7 +9,7 @@
 from collections import deque
 from functools import partial
 
-from crankchute.core.engine_model import estimate_pass_ms, estimate_read_ms
+from crankchute.core.engine_model import estimate_pass_ms, estimate_prefill_ms
 from crankchute.core.reservations import ReservationPort
 from crankchute.ports.forwarding import AnswerHead, ForwardPort, StreamEvent
 
@@ -180,7 +180,7 @@
         """See ForwardPort."""
         parts = len(placement.helpers) + 1
         engine = self._engines[placement.backend.identity]
-        read_ms = estimate_read_ms(self._figures, job.size.prompt, parts)
+        read_ms = estimate_prefill_ms(self._figures, job.size.prompt, parts)
         run = Run(job.size, listener, engine, read_ms, parts)
         self._timers.after(_NETWORK_MS, partial(engine.submit, run))
         for helper in placement.helpers:
--- a/crankchute/adapters/http_client.py
+++ b/crankchute/adapters/http_client.py
@@ -165,7 +165,8 @@
 
         Args:
           text: What happened.
-          connection_lost: Whether the other side, or the network, ended the connection.
+          connection_lost: Whether the other side, or the network, ended the
+            connection.
         """
         if not self._finished:
             self._finished = True
--- a/crankchute/adapters/load_poller.py
+++ b/crankchute/adapters/load_poller.py
@@ -119,7 +119,7 @@
         self._fleet.note_load(backend, LoadReport(now_ms, document))
         for sequence, stored, evicted in document['events']:
             backend.prefix.note_event(sequence, stored, evicted, now_ms)
-        backend.prefix.note_fresh(now_ms)
+        backend.prefix.note_up_to_date(now_ms)
         if self.on_report is not None:
             self.on_report()
 
--- a/crankchute/adapters/peer_records.py
+++ b/crankchute/adapters/peer_records.py
@@ -7,7 +7,7 @@
     WorkBatch,
     WorkNews,
 )
-from crankchute.core.engine_board import Change, Work
+from crankchute.core.engine_board import Change, WorkItem
 from crankchute.core.membership import Member
 from crankchute.core.replica import ChangeSet, Entry
 from crankchute.core.server_limits import AdvertisedLimit
@@ -193,30 +193,30 @@
         change=int(news.change),
         key=work.key,
         engine=work.engine,
-        read_ms=work.read_ms,
+        read_ms=work.prefill_ms,
         memory=work.memory,
-        is_writer=work.is_writer,
+        is_writer=work.is_decoding,
         gap_ms=work.gap_ms,
         weight=work.weight,
         remaining_ms=work.until_ms - now_ms,
         due_in_ms=work.due_ms - now_ms,
-        first_in_ms=work.first_at_ms - now_ms,
-        goes_first=work.goes_first,
+        first_in_ms=work.first_event_at_ms - now_ms,
+        goes_first=work.is_prioritized,
     )
 
 
 def _read_news(record, now_ms):
-    work = Work(
+    work = WorkItem(
         record.key,
         record.engine,
-        read_ms=record.read_ms,
+        prefill_ms=record.read_ms,
         memory=record.memory,
-        is_writer=record.is_writer,
+        is_decoding=record.is_writer,
         gap_ms=record.gap_ms,
         weight=record.weight,
         until_ms=now_ms + record.remaining_ms,
         due_ms=now_ms + record.due_in_ms,
-        first_at_ms=now_ms + record.first_in_ms,
-        goes_first=record.goes_first,
+        first_event_at_ms=now_ms + record.first_in_ms,
+        is_prioritized=record.goes_first,
     )
     return WorkNews(Change(record.change), work)
--- a/crankchute/adapters/peer_records_test.py
+++ b/crankchute/adapters/peer_records_test.py
@@ -15,8 +15,8 @@
     CrashReport,
     QuarantinedRequest,
 )
-from crankchute.core.engine_board import Change, EngineBoard
-from crankchute.core.engine_fakes import make_work
+from crankchute.core.engine_board import Change, EngineWorkTracker
+from crankchute.core.engine_fakes import make_work_item
 from crankchute.core.membership import Member
 from crankchute.core.server_limits import AdvertisedLimit
 from crankchute.core.work_feed import apply_batch
@@ -61,9 +61,9 @@
     times = {
         'until_ms': OWN_MS + 900,
         'due_ms': OWN_MS + 300,
-        'first_at_ms': OWN_MS + 40,
+        'first_event_at_ms': OWN_MS + 40,
     }
-    return make_work('key', 'engine', **{**times, **changes})
+    return make_work_item('key', 'engine', **{**times, **changes})
 
 
 def test_ages_revisions_and_members_arrive():
@@ -79,7 +79,7 @@
     work = pass_on(make_briefing(news)).batch.news[0].work
     assert work.until_ms == pytest.approx(THEIR_MS + 900)
     assert work.due_ms == pytest.approx(THEIR_MS + 300)
-    assert work.first_at_ms == pytest.approx(THEIR_MS + 40)
+    assert work.first_event_at_ms == pytest.approx(THEIR_MS + 40)
 
 
 @pytest.mark.parametrize(
@@ -91,11 +91,11 @@
     ],
 )
 def test_board_of_the_receiver_is_that_of_the_teller(changes, known, started):
-    board = EngineBoard(lambda: THEIR_MS)
+    work_tracker = EngineWorkTracker(lambda: THEIR_MS)
     for change in changes:
         news = [WorkNews(change, make_sent(memory=500))]
-        apply_batch(board, TELLER, pass_on(make_briefing(news)).batch)
-    state = board.state('engine')
+        apply_batch(work_tracker, TELLER, pass_on(make_briefing(news)).batch)
+    state = work_tracker.state('engine')
     assert set(state.works) == known
     assert state.memory == 500 * len(known)
     if known:
@@ -104,10 +104,10 @@
 
 def test_all_work_tells_everything_of_what_began():
     news = [WorkNews(Change.STARTED, make_sent(memory=500))]
-    board = EngineBoard(lambda: THEIR_MS)
+    work_tracker = EngineWorkTracker(lambda: THEIR_MS)
     batch = pass_on(make_briefing(news, is_whole=True)).batch
-    apply_batch(board, TELLER, batch)
-    state = board.state('engine')
+    apply_batch(work_tracker, TELLER, batch)
+    state = work_tracker.state('engine')
     assert state.memory == 500
     assert state.works['key'].started
 
--- a/crankchute/core/briefing.py
+++ b/crankchute/core/briefing.py
@@ -2,7 +2,7 @@
 
 
 class WorkNews:
-    """A state change of a Work."""
+    """A state change of a WorkItem."""
 
     __slots__ = ('change', 'work')
 
@@ -11,7 +11,7 @@
 
         Args:
           change: A Change.
-          work: A Work.
+          work: A WorkItem.
         """
         self.change = change
         self.work = work
--- a/crankchute/core/candidates.py
+++ b/crankchute/core/candidates.py
@@ -6,7 +6,7 @@
 from crankchute.core.labels import match_labels
 
 #: An engine whose latest load report is older than this gets no new work.
-SILENT_MS = 5000
+MAX_LOAD_AGE_MS = 5000
 _LONG_PROMPT_HASH_KEY = 'long'
 
 
@@ -148,7 +148,10 @@
     load = backend.load
     if load is None or backend.is_leaving:
         return False
-    if now_ms - load.at_ms > SILENT_MS or now_ms < backend.paused_until_ms:
+    if (
+        now_ms - load.at_ms > MAX_LOAD_AGE_MS
+        or now_ms < backend.paused_until_ms
+    ):
         return False
     return model in backend.models and backend.breaker.allows(now_ms)
 
--- a/crankchute/core/choosers.py
+++ b/crankchute/core/choosers.py
@@ -12,7 +12,7 @@
 LEAST_BUSY = 'least-busy'
 
 #: Refusal code: no server accepts requests from this instance at the moment.
-NOT_WANTED = 'servers_rest'
+PAUSED_OR_LIMITED = 'servers_rest'
 #: The response timeout of an idempotent request, in multiples of its latency
 #: goal.
 _RESPONSE_TIMEOUT_FACTOR = 3
@@ -33,28 +33,28 @@
         new requests.
       timers: A TimerService.
       random: A random.Random.
-      board: The EngineBoard.
-      news: A function of a Change and a Work that announces this instance's
-        work to other instances.
+      work_tracker: The EngineWorkTracker.
+      announce_work: A function of a Change and a WorkItem that announces this
+        instance's work to other instances.
       new_ticket: A function that returns the id of a new memory reservation.
       data_centre: The data centre of this instance.
       hints: The ReturnHints for refused callers.
       is_connected: A function of a Backend that returns whether an idle
         connection to it is open.
       turns: The LimitTurns, this instance's part of the servers' rate limits.
-      heard_ms_ago: A function that returns the time since the last message
-        from another instance, in milliseconds, or None.
+      last_peer_message_age_ms: A function that returns the time since the last
+        message from another instance, in milliseconds, or None.
     """
 
     __slots__ = (
-        'board',
+        'work_tracker',
         'data_centre',
-        'heard_ms_ago',
+        'last_peer_message_age_ms',
         'hints',
         'is_connected',
         'members',
         'new_ticket',
-        'news',
+        'announce_work',
         'pool',
         'random',
         'timers',
@@ -145,11 +145,12 @@
 
         Requests of other instances are known for engines only.
         """
-        board = self._parts.board
+        work_tracker = self._parts.work_tracker
         return {
             backend.identity
             for backend in self._parts.members()
-            if backend.in_flight or (board and board.has_work(backend.identity))
+            if backend.in_flight
+            or (work_tracker and work_tracker.has_work(backend.identity))
         }
 
     @abc.abstractmethod
@@ -164,7 +165,7 @@
         """
 
     @abc.abstractmethod
-    def silent_until_ms(self, job, attempt):
+    def stalled_at_ms(self, job, attempt):
         """Return the deadline of a server's next event, or None if unlimited.
 
         Args:
@@ -184,10 +185,10 @@
     def note_sent(self, job, placement):
         """Record that a job is about to be sent to its placement."""
 
-    def note_first(self, job, placement):
+    def note_first_event(self, job, placement):
         """Record the first event of a job."""
 
-    def note_pace(self, placement, seen_ms):
+    def note_first_event_latency(self, placement, actual_ms):
         """Record the latency of the first event of a placement."""
 
     def note_load(self, backend, load):
@@ -198,7 +199,7 @@
           load: A ReportedLoad.
         """
 
-    def note_report(self, backend, load):
+    def note_polled_load(self, backend, load):
         """Record a load report that was polled from a server."""
 
     def note_end(self, job, placement):
@@ -215,7 +216,7 @@
         )
         if earliest_ms > 0:
             return refuse_not_run(
-                NOT_WANTED,
+                PAUSED_OR_LIMITED,
                 'all backend servers of the pool are pausing or rate limited',
                 self._parts.hints.choose_after_ms(earliest_ms),
             )
@@ -251,7 +252,7 @@
         self._parts.random.shuffle(members)
         return Placement(min(members, key=self._load))
 
-    def silent_until_ms(self, job, attempt):
+    def stalled_at_ms(self, job, attempt):
         """See Chooser; requests that must not be repeated have no timeout."""
         if job.repeat != Repeat.AGAIN:
             return None
--- a/crankchute/core/crash_ledger.py
+++ b/crankchute/core/crash_ledger.py
@@ -1,9 +1,10 @@
 """An instance's record of server crashes and of the requests behind them.
 
 A request that crashes servers may be retried at any instance, also at one that
-has just started, so instances replicate their histories to each other.  A history
-is bounded in size, so that a request that changes with each submission cannot
-fill it, and entries expire some time after their request was last submitted.
+has just started, so instances replicate their histories to each other.  A
+history is bounded in size, so that a request that changes with each submission
+cannot fill it, and entries expire some time after their request was last
+submitted.
 
 Instances exchange whole histories when their digests differ.  Merging is
 independent of order: the earliest notice of a crash, the union of the requests
@@ -253,8 +254,8 @@
     def _update_quarantine(self):
         """Apply the bounds, then quarantine the requests found as culprits.
 
-        Called once per change, not per record: merging a full history would take
-        several times as long otherwise.
+        Called once per change, not per record: merging a full history would
+        take several times as long otherwise.
         """
         self.discard_expired()
         now_ms = self._now_ms()
--- a/crankchute/core/engine_board.py
+++ b/crankchute/core/engine_board.py
@@ -32,22 +32,22 @@
     ENDED = 2
 
 
-class Work:
+class WorkItem:
     """A prompt, or one engine's part of a shared prompt.
 
     Attributes:
       key: A string that is unique to the attempt across the fleet.
       engine: The engine's id.
       origin: The id of the instance that sent it, or None if this one did.
-      read_ms: The predicted prefill time.
+      prefill_ms: The predicted prefill time.
       memory: KV memory that it needs, in tokens.
-      is_writer: Whether the engine also decodes the answer, a bool.
+      is_decoding: Whether the engine also decodes the answer, a bool.
       gap_ms: The goal for the time between its events.
       weight: Its value if on time, relative to that of a usual prompt.
       until_ms: The deadline of the request, on this process's clock.
       due_ms: The goal for the time of the first event.
-      first_at_ms: The predicted time of the first event.
-      goes_first: Whether its prefill runs before those that wait, as for a
+      first_event_at_ms: The predicted time of the first event.
+      is_prioritized: Whether its prefill runs before those that wait, as for a
         prompt shared by several engines, a bool.
       sent_ms: When this instance recorded it, or None.
       started: Whether its first event has arrived, a bool.
@@ -57,15 +57,15 @@
     __slots__ = (
         'due_ms',
         'engine',
-        'first_at_ms',
+        'first_event_at_ms',
         'gap_ms',
-        'goes_first',
+        'is_prioritized',
         'is_delayed',
-        'is_writer',
+        'is_decoding',
         'key',
         'memory',
         'origin',
-        'read_ms',
+        'prefill_ms',
         'sent_ms',
         'started',
         'until_ms',
@@ -78,21 +78,21 @@
         Args:
           key: See the class.
           engine: See the class.
-          fields: Values for the attributes from read_ms to goes_first.
+          fields: Values for the attributes from prefill_ms to is_prioritized.
         """
         self.key = key
         self.engine = engine
         self.origin = None
         self.sent_ms = None
-        self.read_ms = fields['read_ms']
+        self.prefill_ms = fields['prefill_ms']
         self.memory = fields['memory']
-        self.is_writer = fields['is_writer']
+        self.is_decoding = fields['is_decoding']
         self.gap_ms = fields['gap_ms']
         self.weight = fields['weight']
         self.until_ms = fields['until_ms']
         self.due_ms = fields['due_ms']
-        self.first_at_ms = fields['first_at_ms']
-        self.goes_first = fields['goes_first']
+        self.first_event_at_ms = fields['first_event_at_ms']
+        self.is_prioritized = fields['is_prioritized']
         self.started = False
         self.is_delayed = False
 
@@ -101,10 +101,10 @@
     """The estimated state of one engine.
 
     Attributes:
-      works: A map from key to Work.
+      works: A map from key to WorkItem.
       prefill_until_ms: The predicted end of all prefills sent so far.
       memory: KV memory of the works, in tokens.
-      writers: The number of works that the engine decodes.
+      decode_count: The number of works that the engine decodes.
     """
 
     __slots__ = (
@@ -114,7 +114,7 @@
         'memory',
         'prefill_until_ms',
         'works',
-        'writers',
+        'decode_count',
     )
 
     def __init__(self):
@@ -125,7 +125,7 @@
         self._slowness_at_ms = float(0)
         self._unreported = UnknownLoad()
         self.memory = 0
-        self.writers = 0
+        self.decode_count = 0
 
     def slowness(self, now_ms):
         """Return the estimated ratio of actual to published durations.
@@ -140,7 +140,7 @@
         decay = 0.5 ** (age_ms / _SLOWNESS_HALF_LIFE_MS)
         return 1 + (self._slowness - 1) * decay
 
-    def note_pace(self, ratio, now_ms):
+    def update_slowness(self, ratio, now_ms):
         """Update the slowness from the latency of a first event.
 
         Args:
@@ -164,7 +164,7 @@
         """
         stated_at_ms = now_ms - load.age_ms
         known = sum(
-            work.is_writer and work.sent_ms <= stated_at_ms
+            work.is_decoding and work.sent_ms <= stated_at_ms
             for work in self.works.values()
         )
         self._unreported.note(load, known, now_ms)
@@ -178,7 +178,7 @@
         Returns:
           A float; requests unknown to all instances count partially.
         """
-        return self.writers + self._unreported.estimate(now_ms, usual_ms)
+        return self.decode_count + self._unreported.estimate(now_ms, usual_ms)
 
     def wait_ms(self, now_ms):
         """Return the queueing delay of a new prefill, in milliseconds."""
@@ -188,7 +188,7 @@
         """Add newly sent work.
 
         Args:
-          work: A Work; ignored if its key is known.
+          work: A WorkItem; ignored if its key is known.
           now_ms: The time.
         """
         if work.key in self.works:
@@ -196,12 +196,12 @@
         work.sent_ms = now_ms
         self.works[work.key] = work
         self.memory += work.memory
-        self.writers += work.is_writer
-        read_ms = work.read_ms * self.slowness(now_ms)
-        if work.goes_first:
-            self._postpone_waiting(work, read_ms)
+        self.decode_count += work.is_decoding
+        prefill_ms = work.prefill_ms * self.slowness(now_ms)
+        if work.is_prioritized:
+            self._postpone_waiting(work, prefill_ms)
         start_ms = max(self.prefill_until_ms, now_ms)
-        self.prefill_until_ms = start_ms + read_ms
+        self.prefill_until_ms = start_ms + prefill_ms
         pause_ms = self.prefill_until_ms - now_ms + _TYPICAL_PASS_MS
         for other in self.works.values():
             if other.started and pause_ms > other.gap_ms:
@@ -213,36 +213,40 @@
         Args:
           pause_ms: The duration of the pause.
         Returns:
-          A list of Work without those already delayed.  It includes waiting
+          A list of WorkItem without those already delayed.  It includes waiting
           works, which will be decoding by then.
         """
         return [
             work
             for work in self.works.values()
-            if work.is_writer and not work.is_delayed and pause_ms > work.gap_ms
+            if work.is_decoding
+            and not work.is_delayed
+            and pause_ms > work.gap_ms
         ]
 
-    def list_delayed_prefills(self, read_ms):
+    def list_delayed_prefills(self, prefill_ms):
         """Return the works whose first event a prioritized prefill delays.
 
         Args:
-          read_ms: The duration of the prefill that runs before all others.
+          prefill_ms: The duration of the prefill that runs before all others.
         Returns:
-          A list of Work that miss their goal by it, without those already
+          A list of WorkItem that miss their goal by it, without those already
           late.
         """
         return [
             work
             for work in self.works.values()
             if not work.started
-            and work.first_at_ms <= work.due_ms < work.first_at_ms + read_ms
+            and work.first_event_at_ms
+            <= work.due_ms
+            < work.first_event_at_ms + prefill_ms
         ]
 
     def start(self, key, now_ms):
         """Record the end of a prefill.
 
         Args:
-          key: The key of its Work.
+          key: The key of its WorkItem.
           now_ms: The time.
         """
         work = self.works.get(key)
@@ -254,33 +258,33 @@
         """Remove work that has ended.
 
         Args:
-          key: The key of its Work.
+          key: The key of its WorkItem.
           now_ms: The time.
         """
         work = self.works.pop(key, None)
         if work is None:
             return
         self.memory -= work.memory
-        self.writers -= work.is_writer
+        self.decode_count -= work.is_decoding
         if not work.started:
             self._shorten_wait(now_ms)
 
-    def _postpone_waiting(self, prioritized, read_ms):
+    def _postpone_waiting(self, prioritized, prefill_ms):
         """Postpone waiting works by the duration of a prioritized prefill."""
         for work in self.works.values():
             if not work.started and work is not prioritized:
-                work.first_at_ms += read_ms
+                work.first_event_at_ms += prefill_ms
 
     def _shorten_wait(self, now_ms):
         """Limit the predicted wait to the prefills still outstanding."""
         outstanding_ms = sum(
-            work.read_ms for work in self.works.values() if not work.started
+            work.prefill_ms for work in self.works.values() if not work.started
         )
         until_ms = now_ms + outstanding_ms * self.slowness(now_ms)
         self.prefill_until_ms = min(self.prefill_until_ms, until_ms)
 
 
-class EngineBoard:
+class EngineWorkTracker:
     """The estimated states of all engines, by id.
 
     Attributes:
@@ -288,7 +292,7 @@
     """
 
     def __init__(self, now_ms):
-        """Create an empty board.
+        """Create an empty work_tracker.
 
         Args:
           now_ms: A function that returns the time in milliseconds.
@@ -311,7 +315,7 @@
         return state
 
     def add(self, work):
-        """Add a Work sent by this instance or another."""
+        """Add a WorkItem sent by this instance or another."""
         now_ms = self._now_ms()
         state = self.state(work.engine)
         if work.key not in state.works:
@@ -345,8 +349,8 @@
         state = self._states.get(engine)
         return state is not None and bool(state.works)
 
-    def works_of(self, origin):
-        """Return the Works sent by an instance, a list.
+    def list_work_of(self, origin):
+        """Return the WorkItems sent by an instance, a list.
 
         Args:
           origin: The instance's id, or None for this one.
@@ -380,7 +384,7 @@
           news: A list of WorkNews; works missing from it have ended.
         """
         current_keys = {update.work.key for update in news}
-        for work in self.works_of(origin):
+        for work in self.list_work_of(origin):
             if work.key not in current_keys:
                 self.end(work.engine, work.key)
         for update in news:
--- a/crankchute/core/engine_board_test.py
+++ b/crankchute/core/engine_board_test.py
@@ -4,33 +4,33 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from crankchute.core.engine_fakes import make_work
-from crankchute.core.engine_board import EngineBoard
+from crankchute.core.engine_fakes import make_work_item
+from crankchute.core.engine_board import EngineWorkTracker
 
 ENGINE = 'engine-1'
 
 
 def make_prefill(key, **changes):
-    fields = {'read_ms': 100, 'until_ms': 10_000, **changes}
-    return make_work(key, ENGINE, **fields)
+    fields = {'prefill_ms': 100, 'until_ms': 10_000, **changes}
+    return make_work_item(key, ENGINE, **fields)
 
 
 class World:
-    """An EngineBoard with a manual clock."""
+    """An EngineWorkTracker with a manual clock."""
 
     def __init__(self):
         self.now_ms = 0
-        self.board = EngineBoard(lambda: self.now_ms)
+        self.work_tracker = EngineWorkTracker(lambda: self.now_ms)
 
     @property
     def state(self):
-        return self.board.state(ENGINE)
+        return self.work_tracker.state(ENGINE)
 
 
 def test_prefills_queue_up():
     world = World()
-    world.board.add(make_prefill('a'))
-    world.board.add(make_prefill('b', read_ms=50))
+    world.work_tracker.add(make_prefill('a'))
+    world.work_tracker.add(make_prefill('b', prefill_ms=50))
     assert world.state.wait_ms(0) == 150
     world.now_ms = 60
     assert world.state.wait_ms(60) == 90
@@ -38,33 +38,33 @@
 
 def test_first_event_ends_the_prefill():
     world = World()
-    world.board.add(make_prefill('a'))
-    world.board.add(make_prefill('b', read_ms=50))
+    world.work_tracker.add(make_prefill('a'))
+    world.work_tracker.add(make_prefill('b', prefill_ms=50))
     world.now_ms = 20
-    world.board.start(ENGINE, 'a')
+    world.work_tracker.start(ENGINE, 'a')
     assert world.state.wait_ms(20) == 50
 
 
 @pytest.mark.parametrize(
-    ('read_ms', 'gap_ms', 'delayed'),
+    ('prefill_ms', 'gap_ms', 'delayed'),
     [(100, 250, False), (300, 250, True), (300, 600, False)],
 )
 def test_decodes_delayed_by_a_prefill_are_counted_once(
-    read_ms, gap_ms, delayed
+    prefill_ms, gap_ms, delayed
 ):
     world = World()
-    world.board.add(make_prefill('writer', gap_ms=gap_ms))
-    world.board.start(ENGINE, 'writer')
-    assert len(world.state.list_delayed_decodes(read_ms)) == int(delayed)
-    reader = make_prefill('reader', read_ms=read_ms, is_writer=False)
-    world.board.add(reader)
+    world.work_tracker.add(make_prefill('writer', gap_ms=gap_ms))
+    world.work_tracker.start(ENGINE, 'writer')
+    assert len(world.state.list_delayed_decodes(prefill_ms)) == int(delayed)
+    reader = make_prefill('reader', prefill_ms=prefill_ms, is_decoding=False)
+    world.work_tracker.add(reader)
     assert world.state.works['writer'].is_delayed == delayed
     # Work that is already late is not delayed again.
     assert len(world.state.list_delayed_decodes(1000)) == int(not delayed)
 
 
 @pytest.mark.parametrize(
-    ('first_at_ms', 'due_ms', 'started', 'is_delayed_prefill'),
+    ('first_event_at_ms', 'due_ms', 'started', 'is_delayed_prefill'),
     [
         (100, 300, False, True),
         (100, 400, False, False),
@@ -74,35 +74,41 @@
     ],
 )
 def test_prefills_delayed_by_a_prioritized_one_are_listed(
-    first_at_ms,
+    first_event_at_ms,
     due_ms,
     started,
     is_delayed_prefill,
 ):
     world = World()
-    world.board.add(make_prefill('a', first_at_ms=first_at_ms, due_ms=due_ms))
+    world.work_tracker.add(
+        make_prefill('a', first_event_at_ms=first_event_at_ms, due_ms=due_ms)
+    )
     if started:
-        world.board.start(ENGINE, 'a')
+        world.work_tracker.start(ENGINE, 'a')
     assert len(world.state.list_delayed_prefills(250)) == int(
         is_delayed_prefill
     )
-    world.board.add(make_prefill('b', read_ms=250, goes_first=True))
-    postponed_ms = world.state.works['a'].first_at_ms - first_at_ms
+    world.work_tracker.add(
+        make_prefill('b', prefill_ms=250, is_prioritized=True)
+    )
+    postponed_ms = world.state.works['a'].first_event_at_ms - first_event_at_ms
     assert postponed_ms == 250 - 250 * started
 
 
 def test_late_prefill_is_not_delayed_again():
     world = World()
-    world.board.add(make_prefill('a', first_at_ms=100, due_ms=300))
-    world.board.add(make_prefill('b', read_ms=250, goes_first=True))
+    world.work_tracker.add(make_prefill('a', first_event_at_ms=100, due_ms=300))
+    world.work_tracker.add(
+        make_prefill('b', prefill_ms=250, is_prioritized=True)
+    )
     assert not world.state.list_delayed_prefills(250)
 
 
 def test_work_of_a_lost_instance_expires_at_its_deadline():
     world = World()
-    world.board.add(make_prefill('a', until_ms=500))
+    world.work_tracker.add(make_prefill('a', until_ms=500))
     world.now_ms = 501
-    world.board.add(make_prefill('b'))
+    world.work_tracker.add(make_prefill('b'))
     assert set(world.state.works) == {'b'}
 
 
@@ -117,7 +123,7 @@
 def test_slowness_follows_first_event_latency(ratios, is_slow):
     state = World().state
     for ratio in ratios:
-        state.note_pace(ratio, 0)
+        state.update_slowness(ratio, 0)
     found_slow = state.slowness(0) > 2
     assert found_slow == is_slow
     # The estimate decays, so that the engine is tried again.
@@ -140,12 +146,12 @@
         key = f'work-{number}'
         if step == 'add':
             if key not in world.state.works:
-                world.board.add(make_prefill(key))
+                world.work_tracker.add(make_prefill(key))
         elif step == 'start':
-            world.board.start(ENGINE, key)
+            world.work_tracker.start(ENGINE, key)
         else:
-            world.board.end(ENGINE, key)
+            world.work_tracker.end(ENGINE, key)
     works = world.state.works.values()
     assert world.state.memory == sum(work.memory for work in works)
-    assert world.state.writers == sum(work.is_writer for work in works)
+    assert world.state.decode_count == sum(work.is_decoding for work in works)
     assert world.state.wait_ms(world.now_ms) <= 100 * len(works) + 1
--- a/crankchute/core/engine_chooser.py
+++ b/crankchute/core/engine_chooser.py
@@ -9,11 +9,11 @@
 """
 
 from crankchute.core.choosers import Chooser, choosers
-from crankchute.core.engine_board import Change, Work
+from crankchute.core.engine_board import Change, WorkItem
 from crankchute.core.engine_model import (
     estimate_decode_ms,
     estimate_pass_ms,
-    estimate_read_ms,
+    estimate_prefill_ms,
 )
 from crankchute.core.engine_plans import (
     PREFILL_DELAY_PASSES,
@@ -25,7 +25,7 @@
     estimate_late_probability,
     estimate_worth,
 )
-from crankchute.core.engine_shortlist import Shortlist
+from crankchute.core.engine_shortlist import CandidateFilter
 from crankchute.core.forward_job import Beliefs, Helper, Placement
 from crankchute.core.length_demand import LONG_PROMPT_FACTOR
 from crankchute.core.prompt_admission import (
@@ -72,17 +72,17 @@
         """See Chooser."""
         super().__init__(parts)
         self._figures = parts.pool.figures
-        self._board = parts.board
+        self._work_tracker = parts.work_tracker
         self._decode_ms = estimate_decode_ms(parts.pool.figures)
-        self._shortlist = Shortlist(parts)
+        self._candidate_filter = CandidateFilter(parts)
         self._admission = PromptAdmission()
         self._placement_count = 0
 
     def choose(self, job, avoided):
         """See Chooser."""
-        self._shortlist.update_members(self._parts.members())
-        self._shortlist.update_reserved(self.now_ms())
-        window = self._shortlist.sample_window()
+        self._candidate_filter.update_members(self._parts.members())
+        self._candidate_filter.update_reserved(self.now_ms())
+        window = self._candidate_filter.sample_window()
         usable = self.usable(avoided, window) or self.usable(avoided)
         if not usable:
             return self.refuse()
@@ -92,18 +92,18 @@
         plan = min(plans, key=_cost_of)
         # Admission control applies to first attempts only.
         is_first_attempt = not avoided and job.resume_after is None
-        if is_first_attempt and not self._sends(job, plan):
+        if is_first_attempt and not self._is_admitted(job, plan):
             remaining_ms = job.remaining_ms(self.now_ms())
             return refuse_overloaded(self._parts.hints, remaining_ms)
         return self._make_placement(job, plan)
 
-    def silent_until_ms(self, job, attempt):
+    def stalled_at_ms(self, job, attempt):
         """See Chooser.
 
         An engine emits no events during a prefill, so the timeout starts at
         the predicted end of the prefills that were sent to it.
         """
-        state = self._board.state(attempt.backend.identity)
+        state = self._work_tracker.state(attempt.backend.identity)
         since_ms = max(attempt.heard_ms, state.prefill_until_ms)
         if attempt.started:
             gap_ms = (job.gap_ms or 0) * _GAP_TIMEOUT_FACTOR
@@ -118,7 +118,7 @@
 
     def overdue_at_ms(self, job, attempt):
         """See Chooser."""
-        state = self._board.state(attempt.backend.identity)
+        state = self._work_tracker.state(attempt.backend.identity)
         since_ms = max(attempt.heard_ms, state.prefill_until_ms)
         first_ms = attempt.placement.first_ms or 0
         return since_ms + _OVERDUE_MS + first_ms * _OVERDUE_FACTOR
@@ -126,28 +126,28 @@
     def note_sent(self, job, placement):
         """See Chooser."""
         for work in placement.key.works:
-            self._board.add(work)
-            self._parts.news(Change.SENT, work)
+            self._work_tracker.add(work)
+            self._parts.announce_work(Change.SENT, work)
 
-    def note_first(self, job, placement):
+    def note_first_event(self, job, placement):
         """See Chooser."""
         for work in placement.key.works:
-            self._board.start(work.engine, work.key)
-            self._parts.news(Change.STARTED, work)
+            self._work_tracker.start(work.engine, work.key)
+            self._parts.announce_work(Change.STARTED, work)
 
-    def note_pace(self, placement, seen_ms):
+    def note_first_event_latency(self, placement, actual_ms):
         """See Chooser; split prefills do not show which engine was slow."""
         if placement.helpers or not placement.first_ms:
             return
-        state = self._board.state(placement.backend.identity)
-        state.note_pace(seen_ms / placement.first_ms, self.now_ms())
+        state = self._work_tracker.state(placement.backend.identity)
+        state.update_slowness(actual_ms / placement.first_ms, self.now_ms())
 
     def note_load(self, backend, load):
         """See Chooser."""
-        state = self._board.state(backend.identity)
+        state = self._work_tracker.state(backend.identity)
         state.note_load(load, self.now_ms())
 
-    def note_report(self, backend, load):
+    def note_polled_load(self, backend, load):
         """See Chooser."""
         load.age_ms = self._figures.report_lag_ms
         self.note_load(backend, load)
@@ -155,8 +155,8 @@
     def note_end(self, job, placement):
         """See Chooser."""
         for work in placement.key.works:
-            self._board.end(work.engine, work.key)
-            self._parts.news(Change.ENDED, work)
+            self._work_tracker.end(work.engine, work.key)
+            self._parts.announce_work(Change.ENDED, work)
 
     def _make_plans(self, job, usable):
         """Return the Plans to compare."""
@@ -165,21 +165,26 @@
         candidates = self._make_candidates(usable, is_long=is_long)
         if is_long:
             return self._plan_split(job, candidates)
-        read_ms = estimate_read_ms(self._figures, job.size.prompt)
+        prefill_ms = estimate_prefill_ms(self._figures, job.size.prompt)
         return [
             self._plan(
-                job, (candidate,), read_ms, self._cost_of_single(job, candidate)
+                job,
+                (candidate,),
+                prefill_ms,
+                self._cost_of_single(job, candidate),
             )
             for candidate in candidates
         ]
 
     def _make_candidates(self, usable, *, is_long):
         """Return a Candidate for each shortlisted engine, in random order."""
-        shortlist = self._shortlist
-        selected = shortlist.select(usable, self.now_ms(), is_long=is_long)
+        candidate_filter = self._candidate_filter
+        selected = candidate_filter.select(
+            usable, self.now_ms(), is_long=is_long
+        )
         candidates = [
             self._make_candidate(
-                backend, backend.identity in shortlist.reserved_ids
+                backend, backend.identity in candidate_filter.reserved_ids
             )
             for backend in selected
         ]
@@ -187,9 +192,11 @@
         return candidates
 
     def _make_candidate(self, backend, is_reserved):
-        state = self._board.state(backend.identity)
+        state = self._work_tracker.state(backend.identity)
         slowness = state.slowness(self.now_ms())
-        pass_ms = estimate_pass_ms(self._figures, state.writers, state.memory)
+        pass_ms = estimate_pass_ms(
+            self._figures, state.decode_count, state.memory
+        )
         pass_ms *= slowness
         delay_ms = state.wait_ms(self.now_ms()) + pass_ms * PREFILL_DELAY_PASSES
         requests = state.count_requests(self.now_ms(), self._decode_ms)
@@ -210,7 +217,7 @@
     def _cost_of_single(self, job, candidate):
         cost = _RESERVED_ENGINE_COST if candidate.is_reserved else 0
         cost += (
-            self._shortlist.estimate_path_cost_s(candidate.backend)
+            self._candidate_filter.estimate_network_cost_s(candidate.backend)
             * _DELAY_COST_PER_SECOND
         )
         return cost + _cost_of_memory(self._figures, job.size.memory, candidate)
@@ -239,15 +246,17 @@
         return plans
 
     def _plan_parts(self, job, candidates, parts):
-        read_ms = estimate_read_ms(self._figures, job.size.prompt, parts)
+        prefill_ms = estimate_prefill_ms(self._figures, job.size.prompt, parts)
         memory = job.size.memory / parts
         if parts == 1 or count_required_parts(self._figures, job) == 1:
             memory = job.size.memory
         remaining_ms = max(self._remaining_goal_ms(job), 1)
 
         def estimate_cost(candidate):
-            delay = candidate.first_ms(read_ms) / remaining_ms
-            delayed = candidate.list_delayed(read_ms, goes_first=parts > 1)
+            delay = candidate.first_ms(prefill_ms) / remaining_ms
+            delayed = candidate.list_delayed(
+                prefill_ms, is_prioritized=parts > 1
+            )
             return estimate_harm(delayed) + estimate_worth(
                 self._figures, job
             ) * (delay + candidate.risk)
@@ -266,15 +275,15 @@
             _cost_of_memory(self._figures, memory, decoder)
             + parts * _COST_PER_ENGINE
         )
-        return self._plan(job, (decoder, *helpers), read_ms, cost)
+        return self._plan(job, (decoder, *helpers), prefill_ms, cost)
 
-    def _plan(self, job, chosen, read_ms, cost):
-        first_ms = max(candidate.first_ms(read_ms) for candidate in chosen)
+    def _plan(self, job, chosen, prefill_ms, cost):
+        first_ms = max(candidate.first_ms(prefill_ms) for candidate in chosen)
         harm = estimate_harm(
             work
             for candidate in chosen
             for work in candidate.list_delayed(
-                read_ms, goes_first=len(chosen) > 1
+                prefill_ms, is_prioritized=len(chosen) > 1
             )
         )
         risk = sum(candidate.risk for candidate in chosen)
@@ -288,13 +297,13 @@
         cost += first_ms / _MS_PER_SECOND * _DELAY_COST_PER_SECOND
         return Plan(
             chosen,
-            read_ms=read_ms,
+            prefill_ms=prefill_ms,
             first_ms=first_ms,
             cost=cost,
             harm=harm,
         )
 
-    def _sends(self, job, plan):
+    def _is_admitted(self, job, plan):
         estimate = AdmissionEstimate(
             plan.first_ms,
             self._remaining_goal_ms(job),
@@ -314,7 +323,7 @@
         decoder = plan.chosen[0].backend
         decoder_work = self._make_work(job, key, decoder, plan)
         decoder_work.memory = max(job.size.memory - reserved_tokens, 0)
-        decoder_work.is_writer = True
+        decoder_work.is_decoding = True
         works = [decoder_work]
         for helper in helpers:
             work = self._make_work(job, key, helper.backend, plan)
@@ -341,7 +350,7 @@
             lacking=max(writers + 1 - self._figures.slots, 0),
             memory=state.memory,
             cost=plan.cost,
-            heard_ms_ago=self._parts.heard_ms_ago(),
+            heard_ms_ago=self._parts.last_peer_message_age_ms(),
         )
 
     def _make_helpers(self, job, plan):
@@ -357,18 +366,18 @@
         )
 
     def _make_work(self, job, key, backend, plan):
-        return Work(
+        return WorkItem(
             key,
             backend.identity,
-            read_ms=plan.read_ms,
+            prefill_ms=plan.prefill_ms,
             memory=0,
-            is_writer=False,
+            is_decoding=False,
             gap_ms=job.gap_ms or job.goal_ms,
             weight=estimate_worth(self._figures, job),
             until_ms=job.deadline_ms,
             due_ms=job.arrived_ms + job.goal_ms,
-            first_at_ms=self.now_ms() + plan.first_ms,
-            goes_first=len(plan.chosen) > 1,
+            first_event_at_ms=self.now_ms() + plan.first_ms,
+            is_prioritized=len(plan.chosen) > 1,
         )
 
 
--- a/crankchute/core/engine_chooser_test.py
+++ b/crankchute/core/engine_chooser_test.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from crankchute.core.engine_fakes import make_work
+from crankchute.core.engine_fakes import make_work_item
 from crankchute.core.engine_chooser import EngineChooser
 from crankchute.core.engine_board import Change
 from crankchute.core.fakes import ManualTimers
@@ -35,7 +35,7 @@
             lambda: self.backends,
             lambda change, work: self.announced.append((change, work.engine)),
         )
-        self.board = parts.board
+        self.work_tracker = parts.work_tracker
         self.chooser = EngineChooser(parts)
 
     def place(self, size, goal_ms=300, gap_ms=250):
@@ -45,9 +45,9 @@
         return job, placement
 
     def add_decode(self, engine, gap_ms=250):
-        work = make_work(f'writer-{engine}', engine, gap_ms=gap_ms)
-        self.board.add(work)
-        self.board.start(engine, work.key)
+        work = make_work_item(f'writer-{engine}', engine, gap_ms=gap_ms)
+        self.work_tracker.add(work)
+        self.work_tracker.start(engine, work.key)
 
 
 def engines_of(placement):
@@ -74,14 +74,14 @@
     """The parts of a split prefill run before waiting prefills."""
     world = World(engines=4)
     for engine in ('server-00', 'server-01'):
-        waiting = make_work(
+        waiting = make_work_item(
             f'waiting-{engine}',
             engine,
             weight=20,
             due_ms=400,
-            first_at_ms=300,
+            first_event_at_ms=300,
         )
-        world.board.add(waiting)
+        world.work_tracker.add(waiting)
     _job, placement = world.place(LONG, goal_ms=700)
     assert engines_of(placement) == {'server-02', 'server-03'}
 
@@ -122,12 +122,12 @@
     world = World()
     job, placement = world.place(SHORT)
     engine = placement.backend.identity
-    world.chooser.note_first(job, placement)
+    world.chooser.note_first_event(job, placement)
     world.chooser.note_end(job, placement)
     changes = [change for change, server in world.announced if server == engine]
     assert changes == [Change.SENT, Change.STARTED, Change.ENDED]
-    assert not world.board.state(engine).works
-    assert world.board.state(engine).memory == 0
+    assert not world.work_tracker.state(engine).works
+    assert world.work_tracker.state(engine).memory == 0
 
 
 def test_avoided_servers_are_never_chosen():
@@ -140,8 +140,8 @@
 
 def test_engine_without_a_free_slot_is_not_chosen():
     world = World(engines=2)
-    state = world.board.state('server-01')
-    state.writers = 8
+    state = world.work_tracker.state('server-01')
+    state.decode_count = 8
     _job, placement = world.place(SHORT)
     assert placement.backend.identity == 'server-00'
 
@@ -172,16 +172,15 @@
     world = World(engines=1)
     job, placement = world.place(SHORT)
     attempt = FakeAttempt(placement, 0)
-    world.chooser.note_first(job, placement)
-    before_ms = world.chooser.silent_until_ms(job, attempt)
+    world.chooser.note_first_event(job, placement)
+    before_ms = world.chooser.stalled_at_ms(job, attempt)
     world.place(PromptSize(200_000, 100), goal_ms=2500)
-    prefill_end_ms = world.board.state(
+    prefill_end_ms = world.work_tracker.state(
         placement.backend.identity
     ).prefill_until_ms
     assert prefill_end_ms > 3000
     assert (
-        world.chooser.silent_until_ms(job, attempt)
-        == before_ms + prefill_end_ms
+        world.chooser.stalled_at_ms(job, attempt) == before_ms + prefill_end_ms
     )
 
 
@@ -217,7 +216,7 @@
     job, placement = world.place(SHORT)
     attempt = Attempt(None, None, placement)
     attempt.heard_ms = 0
-    state = world.board.state(placement.backend.identity)
+    state = world.work_tracker.state(placement.backend.identity)
     due_ms = world.chooser.overdue_at_ms(job, attempt)
     assert due_ms > state.prefill_until_ms + placement.first_ms
 
@@ -249,7 +248,7 @@
     parts = make_parts(world.timers, lambda: world.backends)
     parts.data_centre = 'here'
     parts.is_connected = lambda server: server.identity in connected
-    world.board = parts.board
+    world.work_tracker = parts.work_tracker
     world.chooser = EngineChooser(parts)
     return world
 
@@ -271,8 +270,8 @@
 
 def test_prefill_outweighs_an_open_connection():
     world = make_world_with_data_centres({'server-06'}, {'server-06'})
-    work = make_work('reads', 'server-06', read_ms=200)
-    world.board.add(work)
+    work = make_work_item('reads', 'server-06', prefill_ms=200)
+    world.work_tracker.add(work)
     _job, placement = world.place(SHORT)
     assert placement.backend.identity != 'server-06'
 
@@ -283,8 +282,8 @@
     world = World(engines=1)
     for number in range(writers):
         # The long gap keeps admission control from refusing the prompt.
-        work = make_work(f'writer-{number}', 'server-00', gap_ms=60_000)
-        world.board.add(work)
-        world.board.start('server-00', work.key)
+        work = make_work_item(f'writer-{number}', 'server-00', gap_ms=60_000)
+        world.work_tracker.add(work)
+        world.work_tracker.start('server-00', work.key)
     _job, placement = world.place(SHORT)
     assert placement.beliefs.describe()['lacking'] == lacking
--- a/crankchute/core/engine_fakes.py
+++ b/crankchute/core/engine_fakes.py
@@ -1,6 +1,6 @@
 """Test doubles of engines and their load reports."""
 
-from crankchute.core.engine_board import Work
+from crankchute.core.engine_board import WorkItem
 from crankchute.core.load_survey import ReportPort
 
 _FIRST_EVENT_DUE_MS = 300
@@ -11,28 +11,28 @@
 
     Attributes:
       loads: A map from a server's id to its ReportedLoad.
-      asked: The ids of the servers that were polled, a list.
+      polled: The ids of the servers that were polled, a list.
     """
 
     def __init__(self):
         """Create the port without loads."""
         self.loads = {}
-        self.asked = []
+        self.polled = []
 
-    def ask(self, backend, on_load):
+    def request_load(self, backend, on_load):
         """See ReportPort."""
-        self.asked.append(backend.identity)
+        self.polled.append(backend.identity)
         load = self.loads.get(backend.identity)
         if load is not None:
             on_load(load)
 
-    def check(self, backend, path):
+    def check_health(self, backend, path):
         """See ReportPort."""
-        self.asked.append(backend.identity)
+        self.polled.append(backend.identity)
 
 
-def make_work(key, engine, **changes):
-    """Return the Work of a short prompt.
+def make_work_item(key, engine, **changes):
+    """Return the WorkItem of a short prompt.
 
     Args:
       key: The key of the work.
@@ -40,15 +40,15 @@
       changes: Attributes that replace the defaults.
     """
     fields = {
-        'read_ms': 30,
+        'prefill_ms': 30,
         'memory': 1000,
-        'is_writer': True,
+        'is_decoding': True,
         'gap_ms': 250,
         'weight': 1,
         'until_ms': 60_000,
         'due_ms': _FIRST_EVENT_DUE_MS,
-        'first_at_ms': 50,
-        'goes_first': False,
+        'first_event_at_ms': 50,
+        'is_prioritized': False,
     }
     fields.update(changes)
-    return Work(key, engine, **fields)
+    return WorkItem(key, engine, **fields)
--- a/crankchute/core/engine_model.py
+++ b/crankchute/core/engine_model.py
@@ -57,7 +57,7 @@
             setattr(self, name, fields[name])
 
 
-def estimate_read_ms(figures, tokens, parts=1):
+def estimate_prefill_ms(figures, tokens, parts=1):
     """Return the prefill time of a prompt, or of an even part of one.
 
     Args:
@@ -121,5 +121,5 @@
     Returns:
       An int, at least 1.
     """
-    total_ms = estimate_read_ms(figures, tokens)
+    total_ms = estimate_prefill_ms(figures, tokens)
     return max(1, min(max_parts, round(total_ms / max_part_ms)))
--- a/crankchute/core/engine_model_test.py
+++ b/crankchute/core/engine_model_test.py
@@ -4,7 +4,7 @@
 
 from crankchute.core.engine_model import (
     estimate_pass_ms,
-    estimate_read_ms,
+    estimate_prefill_ms,
     estimate_step_ms,
 )
 from crankchute.core.forward_fakes import make_figures
@@ -20,7 +20,7 @@
     ],
 )
 def test_prefill_time(tokens, parts, expected_ms):
-    estimated_ms = estimate_read_ms(make_figures(), tokens, parts)
+    estimated_ms = estimate_prefill_ms(make_figures(), tokens, parts)
     assert estimated_ms == pytest.approx(expected_ms, rel=0.01, abs=0.2)
 
 
--- a/crankchute/core/engine_plans.py
+++ b/crankchute/core/engine_plans.py
@@ -19,7 +19,7 @@
         """Create the key.
 
         Args:
-          works: A tuple of Work, that of the decoding engine first.
+          works: A tuple of WorkItem, that of the decoding engine first.
         """
         self.works = works
 
@@ -63,51 +63,51 @@
         self.slowness = fields['slowness']
         self.risk = fields['risk']
 
-    def first_ms(self, read_ms):
+    def first_ms(self, prefill_ms):
         """Return the predicted time until a new prefill ends.
 
         Args:
-          read_ms: Its duration by the published figures.
+          prefill_ms: Its duration by the published figures.
         """
-        return self.delay_ms + read_ms * self.slowness
+        return self.delay_ms + prefill_ms * self.slowness
 
-    def list_delayed(self, read_ms, *, goes_first):
+    def list_delayed(self, prefill_ms, *, is_prioritized):
         """Return the works here that a new prefill would make late.
 
         Args:
-          read_ms: Its duration by the published figures.
-          goes_first: Whether it runs before those that wait, as the parts of
-            a split prefill do.
+          prefill_ms: Its duration by the published figures.
+          is_prioritized: Whether it runs before those that wait, as the parts
+            of a split prefill do.
         Returns:
-          A list of Work.
+          A list of WorkItem.
         """
         wait_ms = self.delay_ms - self.pass_ms * PREFILL_DELAY_PASSES
-        prefill_ms = read_ms * self.slowness
+        slowed_ms = prefill_ms * self.slowness
         delayed = self.state.list_delayed_decodes(
-            wait_ms + self.pass_ms + prefill_ms
+            wait_ms + self.pass_ms + slowed_ms
         )
-        if goes_first:
-            delayed.extend(self.state.list_delayed_prefills(prefill_ms))
+        if is_prioritized:
+            delayed.extend(self.state.list_delayed_prefills(slowed_ms))
         return delayed
 
 
 class Plan:
     """A possible placement of a job and its cost."""
 
-    __slots__ = ('chosen', 'cost', 'first_ms', 'harm', 'read_ms')
+    __slots__ = ('chosen', 'cost', 'first_ms', 'harm', 'prefill_ms')
 
-    def __init__(self, chosen, *, read_ms, first_ms, cost, harm):
+    def __init__(self, chosen, *, prefill_ms, first_ms, cost, harm):
         """Create the plan.
 
         Args:
           chosen: Candidates, the decoding engine first.
-          read_ms: The prefill time on each of them.
+          prefill_ms: The prefill time on each of them.
           first_ms: The predicted time until all parts are prefilled.
           cost: The total cost, including harm, a float.
           harm: The worth that other requests lose, a float.
         """
         self.chosen = chosen
-        self.read_ms = read_ms
+        self.prefill_ms = prefill_ms
         self.first_ms = first_ms
         self.cost = cost
         self.harm = harm
@@ -117,7 +117,7 @@
     """Return the worth that is lost if works are late.
 
     Args:
-      works: An iterable of Work; the parts of one prompt count once.
+      works: An iterable of WorkItem; the parts of one prompt count once.
     """
     weights = {work.key: work.weight for work in works}
     return sum(weights.values())
--- a/crankchute/core/engine_shortlist.py
+++ b/crankchute/core/engine_shortlist.py
@@ -32,7 +32,7 @@
 _MS_PER_SECOND = 1000
 
 
-class Shortlist:
+class CandidateFilter:
     """Selects the engines of a pool to compare.
 
     Attributes:
@@ -40,13 +40,13 @@
     """
 
     def __init__(self, parts):
-        """Create the shortlist of a pool.
+        """Create the candidate_filter of a pool.
 
         Args:
           parts: ChooserParts.
         """
         self._random = parts.random
-        self._board = parts.board
+        self._work_tracker = parts.work_tracker
         self._is_connected = parts.is_connected
         self._data_centre = parts.data_centre
         self._slots = parts.pool.figures.slots
@@ -80,7 +80,7 @@
         Args:
           now_ms: The time.
         """
-        demand = self._board.demand
+        demand = self._work_tracker.demand
         share = demand.estimate_long_share(now_ms, self._slot_ms)
         count = max(1, round(len(self._sorted_ids) * share))
         if count != self._reserved_count:
@@ -131,7 +131,7 @@
             *heapq.nsmallest(reserved_limit, reserved, key=estimate_wait),
         ]
 
-    def estimate_path_cost_s(self, backend):
+    def estimate_network_cost_s(self, backend):
         """Return the network penalty of an engine, in seconds of wait.
 
         Args:
@@ -146,13 +146,13 @@
 
     def _estimate_wait_ms(self, backend, now_ms):
         """Return a cheap estimate of the wait for an engine, with penalties."""
-        state = self._board.state(backend.identity)
-        excess = max(state.writers + 1 - self._slots, 0)
+        state = self._work_tracker.state(backend.identity)
+        excess = max(state.decode_count + 1 - self._slots, 0)
         return (
             state.wait_ms(now_ms)
-            + state.writers * _DECODE_PENALTY_MS
+            + state.decode_count * _DECODE_PENALTY_MS
             + excess * self._slot_ms
             + backend.suspicion.failure_probability(now_ms)
             * _FAILURE_PENALTY_MS
-            + self.estimate_path_cost_s(backend) * _MS_PER_SECOND
+            + self.estimate_network_cost_s(backend) * _MS_PER_SECOND
         )
--- a/crankchute/core/engine_shortlist_test.py
+++ b/crankchute/core/engine_shortlist_test.py
@@ -5,8 +5,8 @@
 import pytest
 
 from crankchute.core.engine_chooser import EngineChooser
-from crankchute.core.engine_fakes import make_work
-from crankchute.core.engine_shortlist import Shortlist
+from crankchute.core.engine_fakes import make_work_item
+from crankchute.core.engine_shortlist import CandidateFilter
 from crankchute.core.fakes import ManualTimers
 from crankchute.core.forward_fakes import make_backends, make_job, make_parts
 from crankchute.core.forward_job import PromptSize
@@ -24,11 +24,11 @@
     parts.random = random.Random(seed)
     for number in range(round(engines * busy * 3)):
         engine = parts.random.choice(backends).identity
-        read_ms = parts.random.choice((5, 30, 300))
-        work = make_work(f'work-{number}', engine, read_ms=read_ms)
-        parts.board.add(work)
+        prefill_ms = parts.random.choice((5, 30, 300))
+        work = make_work_item(f'work-{number}', engine, prefill_ms=prefill_ms)
+        parts.work_tracker.add(work)
         if parts.random.randrange(TEN) < STARTED_OF_TEN:
-            parts.board.start(engine, work.key)
+            parts.work_tracker.start(engine, work.key)
     return EngineChooser(parts)
 
 
@@ -71,7 +71,7 @@
     backends = make_backends(engines)
     parts = make_parts(ManualTimers(), lambda: backends)
     parts.random = random.Random(1)
-    shortlist = Shortlist(parts)
+    shortlist = CandidateFilter(parts)
     shortlist.update_members(backends)
     shortlist.update_reserved(0)
     window = shortlist.sample_window()
@@ -84,7 +84,7 @@
     backends = make_backends(600)
     parts = make_parts(ManualTimers(), lambda: backends)
     parts.random = random.Random(1)
-    shortlist = Shortlist(parts)
+    shortlist = CandidateFilter(parts)
     shortlist.update_members(backends)
     seen = set()
     for _ in range(40):
--- a/crankchute/core/fleet.py
+++ b/crankchute/core/fleet.py
@@ -8,8 +8,8 @@
 
 from crankchute.core.breaker import Breaker
 from crankchute.core.labels import match_labels
-from crankchute.core.ownership import Holding
-from crankchute.core.prefix import PrefixKnowledge
+from crankchute.core.ownership import EngineContents
+from crankchute.core.prefix import PrefixIndex
 from crankchute.core.suspicion import FailureEstimator
 
 #: The greatest age of an engine's load figures when its report arrives.
@@ -123,7 +123,7 @@
       memory_free: Free KV cache memory, in tokens.
       memory_total: Total KV cache memory, in tokens.
       prefill_rate: Prompt tokens processed per millisecond, a float.
-      holding: The Holding.
+      holding: The EngineContents.
       leaving: Whether the engine is leaving, a bool.
       checks_fences: Whether the engine checks fences, a bool.
     """
@@ -159,7 +159,7 @@
         self.memory_free = document['memory_free']
         self.memory_total = document['memory_total']
         self.prefill_rate = document['prefill_rate']
-        self.holding = Holding(
+        self.holding = EngineContents(
             document['models'],
             document.get('adapters', ()),
             document.get('role', ''),
@@ -177,7 +177,7 @@
       in_flight: The number of this instance's requests in progress there.
       pending_tokens: Prompt tokens that this instance sent and that have not
         led to a first token yet.
-      prefix: The PrefixKnowledge.
+      prefix: The PrefixIndex.
       long_prompt_count: The number of this instance's long prompts there.
       paused_until_ms: When requests may be sent again, after the server asked
         to be sent none.
@@ -214,7 +214,7 @@
         self.long_prompt_count = 0
         self.breaker = Breaker()
         self.suspicion = FailureEstimator()
-        self.prefix = PrefixKnowledge()
+        self.prefix = PrefixIndex()
 
     @property
     def identity(self):
--- a/crankchute/core/flow_desk.py
+++ b/crankchute/core/flow_desk.py
@@ -130,7 +130,7 @@
         """Schedule a callback; see TimerService."""
         return self.timers.after(delay_ms, callback)
 
-    def silent_until_ms(self, flow, attempt):
+    def stalled_at_ms(self, flow, attempt):
         """Return the time at which a silent attempt counts as stalled."""
         allowed_ms = _STALL_TIMEOUT_MS
         if not attempt.started:
@@ -151,7 +151,7 @@
         attempt.backend.note_sent(job.engine_priority, job.tokens)
         attempt.backend.long_prompt_count += job.is_long
 
-    def note_first(self, flow, attempt):
+    def note_first_event(self, flow, attempt):
         """Record an attempt's first token, which frees engine capacity."""
         job = flow.job
         now_ms = self.now_ms()
--- a/crankchute/core/forward_attempt.py
+++ b/crankchute/core/forward_attempt.py
@@ -169,7 +169,7 @@
                 self._reservation.note_used()
             if self._is_overdue:
                 self.backend.suspicion.retract_failure(now_ms)
-            self._desk.note_first(self._flow, self)
+            self._desk.note_first_event(self._flow, self)
         else:
             gap_ms = now_ms - self.heard_ms
             self.longest_gap_ms = max(self.longest_gap_ms, gap_ms)
@@ -228,7 +228,7 @@
         Unused reservations have a limit of their own, so that a hung engine
         does not tie up memory at its helpers until the caller disconnects.
         """
-        until_ms = self._desk.silent_until_ms(self._flow, self)
+        until_ms = self._desk.stalled_at_ms(self._flow, self)
         if self._reservation is None or self.started:
             return until_ms
         unused_ms = self._reservation.unused_until_ms
--- a/crankchute/core/forward_desk.py
+++ b/crankchute/core/forward_desk.py
@@ -153,12 +153,12 @@
             chooser.note_sent(flow.job, choice)
         return choice
 
-    def silent_until_ms(self, flow, attempt):
+    def stalled_at_ms(self, flow, attempt):
         """Return the time when a silent attempt counts as stalled, or None."""
         chooser = self.chooser_of(flow.job.pool)
         if chooser is None:
             return None
-        return chooser.silent_until_ms(flow.job, attempt)
+        return chooser.stalled_at_ms(flow.job, attempt)
 
     def overdue_at_ms(self, flow, attempt):
         """Return when an attempt without an event counts as overdue."""
@@ -199,19 +199,19 @@
         """Record that a request is sent to a server."""
         self.journal.log_attempt(flow, attempt, cause)
 
-    def note_first(self, flow, attempt):
+    def note_first_event(self, flow, attempt):
         """Record the first event of an attempt and its prediction error."""
         placement = attempt.placement
         chooser = self.chooser_of(flow.job.pool)
         if chooser is not None:
-            chooser.note_first(flow.job, placement)
+            chooser.note_first_event(flow.job, placement)
         if flow.job.size is None or placement.first_ms is None:
             return
         actual_ms = attempt.first_ms - attempt.sent_ms
         error_ms = actual_ms - placement.first_ms
         self.metrics.observe_prediction(flow.job.size.prompt, error_ms)
         if chooser is not None:
-            chooser.note_pace(placement, actual_ms)
+            chooser.note_first_event_latency(placement, actual_ms)
 
     def note_load(self, flow, attempt, load):
         """Record the load that a server reported with its answer."""
--- a/crankchute/core/forward_fakes.py
+++ b/crankchute/core/forward_fakes.py
@@ -4,7 +4,7 @@
 
 from crankchute.core.choosers import Chooser, ChooserParts
 from crankchute.core.crash_ledger import CrashHistory
-from crankchute.core.engine_board import EngineBoard
+from crankchute.core.engine_board import EngineWorkTracker
 from crankchute.core.engine_model import EngineFigures
 from crankchute.core.fakes import ManualTimers
 from crankchute.core.fleet import Backend, ListedServer
@@ -286,7 +286,7 @@
             return self.refuse()
         return Placement(usable[0], helpers=self.helpers)
 
-    def silent_until_ms(self, job, attempt):
+    def stalled_at_ms(self, job, attempt):
         """See Chooser."""
         if self.allowed_ms is None:
             return None
@@ -412,13 +412,13 @@
     return EngineFigures(**fields)
 
 
-def make_parts(timers, members, news=None):
+def make_parts(timers, members, announce_work=None):
     """Return ChooserParts with fixed random choices.
 
     Args:
       timers: ManualTimers.
       members: A function that returns Backends.
-      news: A function that is notified of sent work, or None.
+      announce_work: A function that is notified of sent work, or None.
     """
     ticket_numbers = iter(range(1000))
     return ChooserParts(
@@ -426,9 +426,9 @@
         members=members,
         timers=timers,
         random=_FixedRandom(),
-        board=EngineBoard(timers.clock.now_ms),
-        news=news or _ignore,
-        heard_ms_ago=_ignore,
+        work_tracker=EngineWorkTracker(timers.clock.now_ms),
+        announce_work=announce_work or _ignore,
+        last_peer_message_age_ms=_ignore,
         hints=ReturnHints(_FixedRandom()),
         data_centre='',
         is_connected=_ignore,
--- a/crankchute/core/forward_fleet.py
+++ b/crankchute/core/forward_fleet.py
@@ -9,8 +9,8 @@
 only by the instance that it asked.
 
 A server may restart under the same id, and has then lost its state.  So state is
-kept for each start (ListedServer.identity), and the latest start counts, in whatever
-order the starts are reported.
+kept for each start (ListedServer.identity), and the latest start counts, in
+whatever order the starts are reported.
 """
 
 from crankchute.core.fleet import LEAVING, Backend
--- a/crankchute/core/length_demand.py
+++ b/crankchute/core/length_demand.py
@@ -36,15 +36,15 @@
         """Record work sent by any instance.
 
         Args:
-          work: A Work.
+          work: A WorkItem.
           now_ms: The time.
         """
         self._decay(now_ms)
         if work.weight > LONG_PROMPT_FACTOR:
-            self._long_ms += work.read_ms
+            self._long_ms += work.prefill_ms
         else:
-            self._short_ms += work.read_ms
-            self._short_count += work.is_writer
+            self._short_ms += work.prefill_ms
+            self._short_count += work.is_decoding
 
     def estimate_long_share(self, now_ms, slot_ms):
         """Return the share of a pool's engines to reserve for long prompts.
--- a/crankchute/core/length_demand_test.py
+++ b/crankchute/core/length_demand_test.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from crankchute.core.engine_fakes import make_work
+from crankchute.core.engine_fakes import make_work_item
 from crankchute.core.length_demand import LengthDemand
 
 SLOT_MS = 200
@@ -12,11 +12,11 @@
 def record(demand, now_ms, *, long_count, short_count):
     """Record prompts; each long one is split into four parts."""
     for number in range(long_count):
-        work = make_work(f'{number}', 'e', read_ms=400, weight=20)
-        work.is_writer = number % 4 == 0
+        work = make_work_item(f'{number}', 'e', prefill_ms=400, weight=20)
+        work.is_decoding = number % 4 == 0
         demand.note(work, now_ms)
     for number in range(short_count):
-        demand.note(make_work(f's{number}', 'e', read_ms=25), now_ms)
+        demand.note(make_work_item(f's{number}', 'e', prefill_ms=25), now_ms)
 
 
 def record_steadily(demand, start_ms, seconds, **rates):
--- a/crankchute/core/load_survey.py
+++ b/crankchute/core/load_survey.py
@@ -16,7 +16,7 @@
     """Polls servers; answers arrive asynchronously on the event loop."""
 
     @abc.abstractmethod
-    def ask(self, backend, on_load):
+    def request_load(self, backend, on_load):
         """Request a load report from a server.
 
         Args:
@@ -25,7 +25,7 @@
         """
 
     @abc.abstractmethod
-    def check(self, backend, path):
+    def check_health(self, backend, path):
         """Send a health check; the server states its limits in the response.
 
         Args:
@@ -34,7 +34,7 @@
         """
 
 
-class LoadSurvey:
+class InitialLoadPoll:
     """Polls the servers once in the lifetime of a process."""
 
     def __init__(self, port, random, record):
@@ -64,4 +64,4 @@
         self._is_done = bool(servers)
         count = min(len(servers), _MAX_POLLED)
         for backend in self._random.sample(servers, count):
-            self._port.ask(backend, partial(self._record, backend))
+            self._port.request_load(backend, partial(self._record, backend))
--- a/crankchute/core/ownership.py
+++ b/crankchute/core/ownership.py
@@ -42,7 +42,7 @@
         return [self.revision, self.incarnation, self.sequence]
 
 
-class Holding:
+class EngineContents:
     """The loaded or wanted models, adapters and role of an engine.
 
     Attributes:
@@ -87,7 +87,7 @@
 
     Attributes:
       fence: A Fence.
-      wanted: A Holding.
+      wanted: A EngineContents.
     """
 
     __slots__ = ('fence', 'wanted')
@@ -97,7 +97,7 @@
 
         Args:
           fence: A Fence.
-          wanted: A Holding.
+          wanted: A EngineContents.
         """
         self.fence = fence
         self.wanted = wanted
--- a/crankchute/core/placement.py
+++ b/crankchute/core/placement.py
@@ -16,7 +16,7 @@
 _MAX_WAVE_SHARE = 0.25
 
 
-class EngineSlot:
+class PoolEngine:
     """An engine of a pool and its loaded models."""
 
     __slots__ = ('identity', 'loaded')
@@ -99,7 +99,7 @@
     return [model for model in missing.elements() if model in pool.models]
 
 
-def may_switch(identity, loaded, wanted):
+def may_change_models(identity, loaded, wanted):
     """Return whether an engine may change its models now.
 
     A version is rolled out in waves, in an order that all instances agree on,
@@ -107,8 +107,9 @@
 
     Args:
       identity: The engine's id.
-      loaded: A map from the id of each live engine of the pool to its Holding.
-      wanted: The Holding that the engine should have.
+      loaded: A map from the id of each live engine of the pool to its
+        EngineContents.
+      wanted: The EngineContents that the engine should have.
     Returns:
       False if it is up to date or must wait for other engines.
     """
--- a/crankchute/core/placing_test.py
+++ b/crankchute/core/placing_test.py
@@ -23,10 +23,10 @@
 from crankchute.core.fleet import Backend, Fleet
 from crankchute.core.hashing import rank_by_hash
 from crankchute.core.membership import Member, Status
-from crankchute.core.ownership import Holding, Ownership
-from crankchute.core.placement import EngineSlot, may_switch, plan_models
+from crankchute.core.ownership import EngineContents, Ownership
+from crankchute.core.placement import PoolEngine, may_change_models, plan_models
 from crankchute.core.policies import RoutingView, routing_policies
-from crankchute.core.prefix import PrefixKnowledge, hash_blocks
+from crankchute.core.prefix import PrefixIndex, hash_blocks
 from crankchute.core.retry_budget import RetryBudget
 
 _NAMES = ('engine-0', 'engine-1', 'engine-2', 'engine-3')
@@ -81,7 +81,7 @@
     events, cached_blocks
 ):
     """A gap clears the index; old events and old knowledge are ignored."""
-    index = PrefixKnowledge()
+    index = PrefixIndex()
     for sequence, stored, evicted in events:
         index.note_event(sequence, stored, evicted, 0)
     assert index.count_bytes([7], 0) == cached_blocks * 4096
@@ -191,10 +191,10 @@
         }
     )
     slots = [
-        EngineSlot('e0', ['a']),
-        EngineSlot('e1', ['a']),
-        EngineSlot('e2', ['b']),
-        EngineSlot('e3', ['b']),
+        PoolEngine('e0', ['a']),
+        PoolEngine('e1', ['a']),
+        PoolEngine('e2', ['b']),
+        PoolEngine('e3', ['b']),
     ]
     plan = plan_models(pool, slots, {'a': 10, 'b': 10})
     assert plan == {'e0': 'a', 'e1': 'a', 'e2': 'b', 'e3': 'b'}
@@ -210,7 +210,7 @@
             'models': ['a', 'b'],
         }
     )
-    slots = [EngineSlot(f'e{number}', []) for number in range(8)]
+    slots = [PoolEngine(f'e{number}', []) for number in range(8)]
     plan = plan_models(pool, slots, {'a': 90, 'b': 10})
     loaded = list(plan.values())
     assert len(loaded) == 8
@@ -220,11 +220,13 @@
 
 def test_version_rolls_out_in_waves():
     """Most of the pool keeps serving during a rollout."""
-    loaded = {f'e{number}': Holding({'a': 'v1'}) for number in range(8)}
-    wanted = Holding({'a': 'v2'})
+    loaded = {f'e{number}': EngineContents({'a': 'v1'}) for number in range(8)}
+    wanted = EngineContents({'a': 'v2'})
     waves = 0
     while any(holding != wanted for holding in loaded.values()):
-        changing = [name for name in loaded if may_switch(name, loaded, wanted)]
+        changing = [
+            name for name in loaded if may_change_models(name, loaded, wanted)
+        ]
         assert 1 <= len(changing) <= 2
         loaded.update(dict.fromkeys(changing, wanted))
         waves += 1
--- a/crankchute/core/prefix.py
+++ b/crankchute/core/prefix.py
@@ -31,7 +31,7 @@
     return hashes
 
 
-class PrefixKnowledge:
+class PrefixIndex:
     """The blocks in an engine's cache, according to its events."""
 
     __slots__ = ('_blocks', '_sequence', '_updated_ms')
@@ -70,7 +70,7 @@
         self._blocks.difference_update(evicted)
         self._updated_ms = now_ms
 
-    def note_fresh(self, now_ms):
+    def note_up_to_date(self, now_ms):
         """Record that the engine has no newer events.
 
         Args:
--- a/crankchute/core/request_placing.py
+++ b/crankchute/core/request_placing.py
@@ -3,7 +3,7 @@
 A turn is the right to send one request to a rate-limited server.
 """
 
-from crankchute.core.choosers import NOT_WANTED
+from crankchute.core.choosers import PAUSED_OR_LIMITED
 from crankchute.core.forward_job import Placement
 
 
@@ -23,7 +23,7 @@
     choice = desk.choose(flow, avoided)
     # A turn does not help against refusals for other reasons, such as a
     # request that crashes servers.
-    if isinstance(choice, Placement) or choice.code != NOT_WANTED:
+    if isinstance(choice, Placement) or choice.code != PAUSED_OR_LIMITED:
         on_choice(choice)
         return
     chooser = desk.chooser_of(flow.job.pool)
--- a/crankchute/core/request_placing_test.py
+++ b/crankchute/core/request_placing_test.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from crankchute.core.choosers import NOT_WANTED
+from crankchute.core.choosers import PAUSED_OR_LIMITED
 from crankchute.core.forward_job import Placement
 from crankchute.core.outcomes import refuse_not_run
 from crankchute.core.request_placing import place_request
@@ -52,7 +52,7 @@
 
 PLACEMENT = Placement(None)
 LENT_PLACEMENT = Placement(None)
-NO_TURN = refuse_not_run(NOT_WANTED, 'no turn')
+NO_TURN = refuse_not_run(PAUSED_OR_LIMITED, 'no turn')
 CRASHING = refuse_not_run('crashes_servers', 'servers crashed under it')
 OVERLOADED = refuse_not_run('crowded', 'others would be late')
 
--- a/crankchute/core/seen_load_test.py
+++ b/crankchute/core/seen_load_test.py
@@ -5,10 +5,10 @@
 
 import pytest
 
-from crankchute.core.engine_fakes import FakeReports, make_work
-from crankchute.core.engine_board import EngineBoard
+from crankchute.core.engine_fakes import FakeReports, make_work_item
+from crankchute.core.engine_board import EngineWorkTracker
 from crankchute.core.forward_fakes import make_backends
-from crankchute.core.load_survey import LoadSurvey
+from crankchute.core.load_survey import InitialLoadPoll
 from crankchute.core.seen_load import ReportedLoad
 
 ENGINE = 'engine-1'
@@ -16,12 +16,12 @@
 
 
 class World:
-    """An engine board with a clock that the test sets."""
+    """An engine work_tracker with a clock that the test sets."""
 
     def __init__(self):
         self.now_ms = 1000
-        self.board = EngineBoard(lambda: self.now_ms)
-        self.state = self.board.state(ENGINE)
+        self.work_tracker = EngineWorkTracker(lambda: self.now_ms)
+        self.state = self.work_tracker.state(ENGINE)
 
     def report(self, requests, age_ms=0):
         load = ReportedLoad(requests)
@@ -39,7 +39,7 @@
 def test_unaccounted_requests_are_counted(known, reported, counted):
     world = World()
     for number in range(known):
-        world.board.add(make_work(f'work-{number}', ENGINE))
+        world.work_tracker.add(make_work_item(f'work-{number}', ENGINE))
     world.report(reported)
     assert world.count() == counted
 
@@ -50,7 +50,7 @@
     world.now_ms += 50
     # Another instance sent this request; its message arrives next.
     world.report(1)
-    world.board.add(make_work('announced late', ENGINE))
+    world.work_tracker.add(make_work_item('announced late', ENGINE))
     assert world.count() == 1
 
 
@@ -64,7 +64,7 @@
 
 def test_parts_at_helper_engines_are_not_requests():
     world = World()
-    world.board.add(make_work('part', ENGINE, is_writer=False))
+    world.work_tracker.add(make_work_item('part', ENGINE, is_decoding=False))
     world.report(1)
     assert world.count() == 1
 
@@ -80,9 +80,9 @@
 
 def test_report_is_compared_with_the_requests_of_its_time():
     world = World()
-    world.board.add(make_work('old', ENGINE))
+    world.work_tracker.add(make_work_item('old', ENGINE))
     world.now_ms += 300
-    world.board.add(make_work('new', ENGINE))
+    world.work_tracker.add(make_work_item('new', ENGINE))
     # The report precedes the new work and does not count it.
     world.report(1, age_ms=200)
     assert world.count() == 2
@@ -93,18 +93,18 @@
 
 def test_survey_runs_once_and_asks_a_bounded_number_of_servers():
     port = FakeReports()
-    survey = LoadSurvey(port, random.Random(1), lambda *_report: None)
+    survey = InitialLoadPoll(port, random.Random(1), lambda *_report: None)
     list_members = partial(make_backends, 200)
     for _ in range(3):
         survey.run(list_members)
-    assert len(set(port.asked)) == len(port.asked) == 64
+    assert len(set(port.polled)) == len(port.polled) == 64
 
 
 def test_survey_passes_each_report_with_its_server():
     port = FakeReports()
     port.loads['server-01'] = ReportedLoad(7)
     reports = []
-    survey = LoadSurvey(
+    survey = InitialLoadPoll(
         port,
         random.Random(1),
         lambda backend, load: reports.append((backend.identity, load.requests)),
--- a/crankchute/core/sharing.py
+++ b/crankchute/core/sharing.py
@@ -91,7 +91,7 @@
 
         Args:
           change: A Change.
-          work: A Work.
+          work: A WorkItem.
         """
         self._last_choice_ms = self._now_ms()
         self._outbox.append(WorkNews(change, work))
@@ -134,7 +134,7 @@
             self._parts.crashes.merge_report(briefing.crashes)
         self.instances.record_subscription(briefing)
         for batch in view.feed.receive(briefing, now_ms):
-            apply_batch(self._parts.board, briefing.instance, batch)
+            apply_batch(self._parts.work_tracker, briefing.instance, batch)
         self._parts.take(briefing, asked_ms)
         is_answer = asked_ms is not None
         self.instances.record_active_list(briefing, is_answer=is_answer)
@@ -151,7 +151,7 @@
         self.instances.choose()
         return self._make_briefing(self.instances.view(briefing.instance), [])
 
-    def heard_ms_ago(self):
+    def last_peer_message_age_ms(self):
         """Return the age of the oldest last message of an active peer.
 
         Peers without any message are ignored; None if there is no other.
@@ -273,7 +273,7 @@
         )
 
     def _own_works(self):
-        return self._parts.board.works_of(None)
+        return self._parts.work_tracker.list_work_of(None)
 
 
 class SharingParts:
@@ -289,7 +289,7 @@
       is_serving: A function that returns whether this instance serves clients.
       proof_age_ms: A function that returns how many milliseconds ago this
         instance's configuration was confirmed to be the newest, or None.
-      board: The EngineBoard.
+      work_tracker: The EngineWorkTracker.
       crashes: The CrashHistory.
       make_briefing: A function that returns a Briefing.  Its keyword arguments
         are the Briefing's attributes that Sharing provides.
@@ -300,7 +300,7 @@
     """
 
     __slots__ = (
-        'board',
+        'work_tracker',
         'crashes',
         'get',
         'is_serving',
--- a/crankchute/core/sharing_test.py
+++ b/crankchute/core/sharing_test.py
@@ -6,11 +6,11 @@
 
 import pytest
 
-from crankchute.core.engine_fakes import make_work
+from crankchute.core.engine_fakes import make_work_item
 from crankchute.core.active_choice import Ranking, count_active
 from crankchute.core.briefing import Briefing
 from crankchute.core.crash_ledger import CrashHistory
-from crankchute.core.engine_board import Change, EngineBoard
+from crankchute.core.engine_board import Change, EngineWorkTracker
 from crankchute.core.fakes import ManualTimers
 from crankchute.core.membership import Member
 from crankchute.core.sharing import Sharing, SharingParts
@@ -36,7 +36,7 @@
         self.proof_ages = {}
         self.received = []
         self.boot_ids = {}
-        self.boards = {}
+        self.work_trackers = {}
         self.histories = {}
         self.instances = {name: self._make(name) for name in names}
 
@@ -55,20 +55,20 @@
 
     def send_work(self, name, key, engine='engine-1'):
         """Let an instance send work to an engine and report it."""
-        work = make_work(key, engine)
-        self.boards[name].add(work)
+        work = make_work_item(key, engine)
+        self.work_trackers[name].add(work)
         self.instances[name].note(Change.SENT, work)
 
     def end_work(self, name, key, engine='engine-1'):
-        work = self.boards[name].state(engine).works[key]
-        self.boards[name].end(engine, key)
+        work = self.work_trackers[name].state(engine).works[key]
+        self.work_trackers[name].end(engine, key)
         self.instances[name].note(Change.ENDED, work)
 
     def list_work_at(self, name, engine='engine-1'):
-        return set(self.boards[name].state(engine).works)
+        return set(self.work_trackers[name].state(engine).works)
 
     def _make(self, name):
-        self.boards[name] = EngineBoard(self.timers.clock.now_ms)
+        self.work_trackers[name] = EngineWorkTracker(self.timers.clock.now_ms)
         self.histories[name] = CrashHistory(self.timers.clock.now_ms)
         parts = SharingParts(
             timers=self.timers,
@@ -80,7 +80,7 @@
             version=lambda: len(self.list_known(name)),
             is_serving=lambda: name not in self.stopping,
             proof_age_ms=lambda: self.proof_ages.get(name, 10),
-            board=self.boards[name],
+            work_tracker=self.work_trackers[name],
             crashes=self.histories[name],
             make_briefing=lambda **exchanged: self._make_briefing(
                 name, **exchanged
@@ -189,7 +189,7 @@
     fleet.timers.advance(2000)
     first, second, _third = fleet.list_active_at('a1')
     fleet.received.clear()
-    work = make_work('work-1', 'engine-1')
+    work = make_work_item('work-1', 'engine-1')
     fleet.instances[first].note(Change.SENT, work)
     fleet.instances[first].note(Change.STARTED, work)
     fleet.timers.advance(10)
--- a/crankchute/core/work_feed.py
+++ b/crankchute/core/work_feed.py
@@ -65,7 +65,7 @@
 
         Args:
           news: A list of WorkNews.
-          own_works: A function that returns all Works of this instance.
+          own_works: A function that returns all WorkItems of this instance.
         Returns:
           A WorkBatch; a snapshot if the peer requested one.
         """
@@ -146,18 +146,18 @@
     return Change.STARTED if work.started else Change.SENT
 
 
-def apply_batch(board, origin, batch):
-    """Apply a batch from another instance to the board.
+def apply_batch(work_tracker, origin, batch):
+    """Apply a batch from another instance to the work_tracker.
 
     Args:
-      board: An EngineBoard.
+      work_tracker: An EngineWorkTracker.
       origin: The id of the instance that sent the batch.
       batch: A WorkBatch.
     """
     for one in batch.news:
         one.work.origin = origin
     if batch.is_whole:
-        board.replace(origin, batch.news)
+        work_tracker.replace(origin, batch.news)
         return
     for one in batch.news:
-        board.note(one)
+        work_tracker.note(one)
--- a/crankchute/core/work_feed_test.py
+++ b/crankchute/core/work_feed_test.py
@@ -6,9 +6,9 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, rule
 
-from crankchute.core.engine_fakes import make_work
+from crankchute.core.engine_fakes import make_work_item
 from crankchute.core.briefing import Briefing, WorkNews
-from crankchute.core.engine_board import Change, EngineBoard
+from crankchute.core.engine_board import Change, EngineWorkTracker
 from crankchute.core.work_feed import WorkFeed, apply_batch
 
 ENGINE = 'engine-1'
@@ -32,7 +32,7 @@
         self.boot_count = 0
         self.work_count = 0
         self.receiver = WorkFeed()
-        self.receiver_board = EngineBoard(lambda: self.now_ms)
+        self.receiver_work_tracker = EngineWorkTracker(lambda: self.now_ms)
         self.in_flight = []
         self.restart()
 
@@ -40,34 +40,34 @@
     def restart(self):
         self.boot_count += 1
         self.sender = WorkFeed()
-        self.sender_board = EngineBoard(lambda: self.now_ms)
+        self.sender_work_tracker = EngineWorkTracker(lambda: self.now_ms)
         self.outbox = []
 
     @rule()
     def send_work(self):
         self.work_count += 1
-        work = make_work(
+        work = make_work_item(
             f'work-{self.work_count}',
             ENGINE,
             until_ms=float('inf'),
         )
-        self.sender_board.add(work)
+        self.sender_work_tracker.add(work)
         self.outbox.append(WorkNews(Change.SENT, work))
 
     @rule(change=st.sampled_from([Change.STARTED, Change.ENDED]))
     def change_work(self, change):
-        works = self.sender_board.works_of(None)
+        works = self.sender_work_tracker.list_work_of(None)
         if not works:
             return
         news = WorkNews(change, works[0])
-        self.sender_board.note(news)
+        self.sender_work_tracker.note(news)
         self.outbox.append(news)
 
     @rule()
     def flush(self):
         batch = self.sender.make_batch(
             self.outbox,
-            lambda: self.sender_board.works_of(None),
+            lambda: self.sender_work_tracker.list_work_of(None),
         )
         self.outbox = []
         briefing = make_briefing(
@@ -98,7 +98,7 @@
         if briefing.boot != f'boot-{self.boot_count}':
             return
         for batch in self.receiver.receive(briefing, self.now_ms):
-            apply_batch(self.receiver_board, SENDER, batch)
+            apply_batch(self.receiver_work_tracker, SENDER, batch)
 
     @rule()
     def lose(self):
@@ -117,9 +117,9 @@
         """Deliver the end of a work before its start."""
         self.send_work()
         self.flush()
-        work = self.sender_board.works_of(None)[-1]
+        work = self.sender_work_tracker.list_work_of(None)[-1]
         ended = WorkNews(Change.ENDED, work)
-        self.sender_board.note(ended)
+        self.sender_work_tracker.note(ended)
         self.outbox.append(ended)
         self.flush()
         self.deliver(len(self.in_flight) - 1)
@@ -135,15 +135,17 @@
             self.deliver(0)
 
     def teardown(self):
-        """Check that both boards agree after reliable exchanges."""
+        """Check that both work_trackers agree after reliable exchanges."""
         for _ in range(3):
             self.exchange_reliably()
         assert not self.receiver.is_incomplete(self.now_ms)
         sent = {
-            one.key: one.started for one in self.sender_board.works_of(None)
+            one.key: one.started
+            for one in self.sender_work_tracker.list_work_of(None)
         }
         received = {
-            one.key: one.started for one in self.receiver_board.works_of(SENDER)
+            one.key: one.started
+            for one in self.receiver_work_tracker.list_work_of(SENDER)
         }
         assert received == sent
 
--- a/crankchute/entry/forward_node.py
+++ b/crankchute/entry/forward_node.py
@@ -16,12 +16,12 @@
 from crankchute.adapters.metrics import PrometheusMetrics
 from crankchute.core.choosers import LEAST_BUSY, ChooserParts, choosers
 from crankchute.core.crash_ledger import CrashHistory
-from crankchute.core.engine_board import EngineBoard
+from crankchute.core.engine_board import EngineWorkTracker
 from crankchute.core.engine_chooser import PREDICTED
 from crankchute.core.forward_config import ForwardConfigHolder
 from crankchute.core.forward_desk import ForwardDesk, ForwardPorts
 from crankchute.core.forward_fleet import ForwardFleet
-from crankchute.core.load_survey import LoadSurvey
+from crankchute.core.load_survey import InitialLoadPoll
 from crankchute.core.reservations import ReservationDesk
 from crankchute.core.return_hints import ReturnHints
 from crankchute.core.server_list import ServerList
@@ -146,7 +146,7 @@
         self.holder = ForwardConfigHolder()
         self.fleet = ForwardFleet(loop.timers, wiring.pool_label)
         self.servers = ServerList()
-        self.board = EngineBoard(self.now_ms)
+        self.work_tracker = EngineWorkTracker(self.now_ms)
         self.crashes = CrashHistory(self.now_ms, self._on_held)
         self._hints = ReturnHints(self.random)
         self._limits = limits
@@ -175,7 +175,7 @@
             chooser_of=self._chooser_of,
         )
         self.desk = ForwardDesk(ports, limits.retries)
-        self._survey = LoadSurvey(
+        self._survey = InitialLoadPoll(
             wiring.reports,
             self.random,
             self._note_report,
@@ -319,7 +319,7 @@
             return
         chooser = self._chooser_of(self.fleet.pool_of(reporting))
         if chooser is not None:
-            chooser.note_report(reporting, load)
+            chooser.note_polled_load(reporting, load)
 
     def _on_moved(self, backend):
         log_change('server_moved', server=backend.identity)
@@ -339,7 +339,7 @@
         """Drop what goes by the earlier start of a server."""
         log_change('server_restarted', server=backend.identity)
         self.desk.note_restarted(backend)
-        self.board.forget(backend.identity)
+        self.work_tracker.forget(backend.identity)
         self._forget_connections(backend)
 
     def _on_config(self, config):
@@ -357,11 +357,11 @@
             members=lambda: self.fleet.members_of(pool.name),
             timers=self.timers,
             random=self.random,
-            board=self.board,
+            work_tracker=self.work_tracker,
             hints=self._hints,
-            news=self._note_work,
+            announce_work=self._note_work,
             new_ticket=self._reservations.new_ticket,
-            heard_ms_ago=self.peers.sharing.heard_ms_ago,
+            last_peer_message_age_ms=self.peers.sharing.last_peer_message_age_ms,
             data_centre=self.identity.data_centre,
             is_connected=self._is_connected,
             turns=self.peers.limits.turns,
--- a/crankchute/entry/forward_node_test.py
+++ b/crankchute/entry/forward_node_test.py
@@ -128,28 +128,28 @@
 
 def test_first_request_to_an_engine_asks_for_its_load():
     world = World(make_figures())
-    assert not world.reports.asked
+    assert not world.reports.polled
     world.submit()
     world.submit()
-    assert world.reports.asked == ['s1@100']
+    assert world.reports.polled == ['s1@100']
 
 
 def test_restart_of_a_server_ends_all_that_went_by_its_earlier_start():
     world = World(make_figures())
     sink = world.submit()
-    state = world.node.board.state('s1@100')
+    state = world.node.work_tracker.state('s1@100')
     assert state.works
     world.list_server(200)
     first, again = world.port.calls
     assert first.cancelled
     assert again.placement.backend.identity == 's1@200'
     assert world.port.forgotten == ['s1@100']
-    assert not world.node.board.state('s1@100').works
-    assert len(world.node.board.state('s1@200').works) == 1
+    assert not world.node.work_tracker.state('s1@100').works
+    assert len(world.node.work_tracker.state('s1@200').works) == 1
     world.port.calls.pop(0)
     world.answer()
     assert sink.seen == [('answer', 200)]
-    assert not world.node.board.state('s1@200').works
+    assert not world.node.work_tracker.state('s1@200').works
 
 
 def test_report_may_tell_first_that_an_engine_started_again():
@@ -158,5 +158,5 @@
     world.reports.loads['s1@100'] = load
     world.submit()
     assert world.node.fleet.get('s1@100') is None
-    state = world.node.board.state('s1@200')
+    state = world.node.work_tracker.state('s1@200')
     assert state.count_requests(world.node.now_ms(), 1000) >= 2
--- a/crankchute/entry/forward_peers.py
+++ b/crankchute/entry/forward_peers.py
@@ -278,7 +278,7 @@
             members=self.membership.believed_alive,
             get=self.membership.get,
             version=lambda: self.membership.version,
-            board=node.board,
+            work_tracker=node.work_tracker,
             crashes=node.crashes,
             is_serving=lambda: node.is_accepting,
             proof_age_ms=lambda: node.holder.proof_age_ms(self._now_ms()),
--- a/crankchute/entry/forward_state.py
+++ b/crankchute/entry/forward_state.py
@@ -28,7 +28,7 @@
         },
         'active': [one.identity for one in node.peers.sharing.active],
         'home': node.peers.sharing.home,
-        'peers_heard_ms_ago': node.peers.sharing.heard_ms_ago(),
+        'peers_heard_ms_ago': node.peers.sharing.last_peer_message_age_ms(),
         'members': [
             _dump_member(one) for one in node.peers.membership.all_members()
         ],
@@ -57,7 +57,7 @@
 
 
 def _dump_server(node, backend):
-    state = node.board.state(backend.identity)
+    state = node.work_tracker.state(backend.identity)
     return {
         'server': backend.identity,
         'address': '{0}:{1}'.format(*backend.listed.address),
@@ -71,7 +71,7 @@
             node.peers.limits.turns.wait_ms(backend.identity)
         ),
         'wait_ms': round(state.wait_ms(node.now_ms()), 1),
-        'writers': state.writers,
+        'writers': state.decode_count,
         'memory': state.memory,
     }
 
--- a/crankchute/entry/limited_servers.py
+++ b/crankchute/entry/limited_servers.py
@@ -30,10 +30,10 @@
         if not wants_requests(node.fleet, backend, node.now_ms()):
             return
         if pool.figures is None:
-            self._reports.check(backend, pool.health_path)
+            self._reports.check_health(backend, pool.health_path)
         else:
             # It takes no place there, as the question for its health does.
-            self._reports.ask(backend, _ignore)
+            self._reports.request_load(backend, _ignore)
 
     def _find_pool(self, backend):
         """Return the PoolConfig of a server, or None."""
--- a/crankchute/entry/owning.py
+++ b/crankchute/entry/owning.py
@@ -7,9 +7,9 @@
 from crankchute.adapters.http_client import build_request
 from crankchute.adapters.log import log_change
 from crankchute.core.addresses import choose_owner
-from crankchute.core.candidates import SILENT_MS, list_members
-from crankchute.core.ownership import Holding, Order, Ownership
-from crankchute.core.placement import EngineSlot, may_switch, plan_models
+from crankchute.core.candidates import MAX_LOAD_AGE_MS, list_members
+from crankchute.core.ownership import EngineContents, Order, Ownership
+from crankchute.core.placement import PoolEngine, may_change_models, plan_models
 from crankchute.ports.http import WholeResponse
 
 _PASS_MS = 1000
@@ -68,18 +68,18 @@
             for backend in list_members(config, self._fleet, pool.name)
             if _is_reporting(backend, now_ms)
         ]
-        slots = [EngineSlot(one.identity, one.models) for one in alive]
+        slots = [PoolEngine(one.identity, one.models) for one in alive]
         plan = plan_models(pool, slots, self._demand)
         held = {one.identity: one.load.holding for one in alive}
         for backend in alive:
             self._update_owner(backend, now_ms)
             model = config.models[plan[backend.identity]]
-            wanted = Holding(
+            wanted = EngineContents(
                 {model.name: model.version},
                 model.adapters,
                 pool.role,
             )
-            if not may_switch(backend.identity, held, wanted):
+            if not may_change_models(backend.identity, held, wanted):
                 continue
             if self._may_order(pool, backend, now_ms):
                 self._order(backend, wanted)
@@ -133,7 +133,7 @@
 def _is_reporting(backend, now_ms):
     if backend.load is None or backend.is_leaving:
         return False
-    return now_ms - backend.load.at_ms <= SILENT_MS
+    return now_ms - backend.load.at_ms <= MAX_LOAD_AGE_MS
 
 
 def _ignore(_exc):
--- a/crankchute/errors.py
+++ b/crankchute/errors.py
@@ -65,8 +65,8 @@
 
     Attributes:
       sent: False if it is proved that no byte left for the backend.
-      connection_lost: Whether the connection ended, and not by this side, before the
-        answer was whole, a bool.
+      connection_lost: Whether the connection ended, and not by this side,
+        before the answer was whole, a bool.
     """
 
     def __init__(self, text, *, sent, connection_lost=False):
--- a/crankchute/platform/engine_reports.py
+++ b/crankchute/platform/engine_reports.py
@@ -24,7 +24,7 @@
         """
         self._calls = calls
 
-    def ask(self, backend, on_load):
+    def request_load(self, backend, on_load):
         """See ReportPort."""
 
         def take(_status, body):
@@ -34,7 +34,7 @@
 
         self._get(backend, REPORT_PATH, take)
 
-    def check(self, backend, path):
+    def check_health(self, backend, path):
         """See ReportPort."""
         self._get(backend, path, _ignore)
 
--- a/crankchute/platform/forwarding_test.py
+++ b/crankchute/platform/forwarding_test.py
@@ -12,7 +12,7 @@
 from crankchute.adapters.loop import Loop
 from crankchute.core.choosers import ChooserParts
 from crankchute.core.crash_ledger import CrashHistory
-from crankchute.core.engine_board import EngineBoard
+from crankchute.core.engine_board import EngineWorkTracker
 from crankchute.core.engine_chooser import EngineChooser
 from crankchute.core.fleet import Backend, ListedServer
 from crankchute.core.forward_config import PoolConfig
@@ -134,9 +134,9 @@
             members=lambda: self.backends,
             timers=timers,
             random=random.Random(1),
-            board=EngineBoard(timers.clock.now_ms),
-            news=lambda _change, _work: None,
-            heard_ms_ago=lambda: None,
+            work_tracker=EngineWorkTracker(timers.clock.now_ms),
+            announce_work=lambda _change, _work: None,
+            last_peer_message_age_ms=lambda: None,
             hints=ReturnHints(random.Random(1)),
             data_centre='',
             is_connected=lambda _backend: False,
--- a/crankchute/platform/standin_world.py
+++ b/crankchute/platform/standin_world.py
@@ -300,6 +300,6 @@
     """Let an engine be asked for its report."""
     node = world.nodes[0]
     backend = node.fleet.get(list_engine(engine).identity)
-    world.reports(node).ask(backend, lambda _load: None)
+    world.reports(node).request_load(backend, lambda _load: None)
     world.loop.run_until(lambda: engine.questions, _TICK_S)
     world.wait(_ARRIVAL_MS)
--- a/tests/overload_test.py
+++ b/tests/overload_test.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from bench.overload import SENDS_ALL, World, measure_goodput
+from bench.overload import ADMITS_ALL, World, measure_goodput
 from crankchute.core.engine_chooser import PREDICTED
 
 _SHORT_MS = 12_000
@@ -23,7 +23,7 @@
 @pytest.mark.parametrize(('load', 'factor'), [(1.5, 1.3), (3, 3)])
 def test_more_is_served_in_time_than_by_sending_all(load, factor):
     refusing = measure_goodput(PREDICTED, load, length_ms=_SHORT_MS)
-    sending = measure_goodput(SENDS_ALL, load, length_ms=_SHORT_MS)
+    sending = measure_goodput(ADMITS_ALL, load, length_ms=_SHORT_MS)
     assert refusing >= factor * sending
 
 
