--- a/bench/ablations.py
+++ b/bench/ablations.py
@@ -155,8 +155,8 @@
 _leave_out(
     'overdue signs',
     f'{_CORE}/forward_attempt.py',
-    'self.backend.suspicion.note_failure(self._desk.now_ms())',
-    'self.backend.suspicion.note_failure(self._desk.now_ms(), 0)',
+    'self.backend.suspicion.note_failure(self._context.now_ms())',
+    'self.backend.suspicion.note_failure(self._context.now_ms(), 0)',
 )
 _leave_out(
     'probing of silent hosts',
@@ -173,8 +173,8 @@
 _leave_out(
     'retries of 500',
     f'{_CORE}/forward_flow.py',
-    'may_repeat = is_server_error and self.job.may_repeat',
-    'may_repeat = False',
+    'may_retry = is_server_error and self.job.may_retry',
+    'may_retry = False',
 )
 
 
--- a/bench/capacity_core.py
+++ b/bench/capacity_core.py
@@ -15,7 +15,7 @@
 from crankchute.core.addresses import choose_addresses
 from crankchute.core.config_check import load_config
 from crankchute.core.config_holder import ConfigHolder
-from crankchute.core.dispatcher import Dispatcher, Ports
+from crankchute.core.dispatcher import Dispatcher, DispatcherPorts
 from crankchute.core.fakes import (
     FakeEngines,
     ManualTimers,
@@ -139,7 +139,7 @@
     timers = ManualTimers()
     fleet = Fleet()
     fleet.replace([make_listed(f'engine-{one}') for one in range(engines)])
-    ports = Ports(
+    ports = DispatcherPorts(
         engines=FakeEngines(),
         timers=timers,
         random=random.Random(1),
--- a/bench/crash_ways.py
+++ b/bench/crash_ways.py
@@ -21,7 +21,7 @@
     make_job,
     make_parts,
 )
-from crankchute.core.forward_job import Repeat
+from crankchute.core.forward_job import RetryMode
 from crankchute.core.outcomes import Outcome
 from crankchute.core.return_hints import ReturnHints
 from crankchute.errors import BackendError
@@ -223,7 +223,7 @@
             fingerprint=fingerprint,
             arrived_ms=now_ms,
             deadline_ms=now_ms + 10_000,
-            repeat=Repeat.AGAIN,
+            repeat=RetryMode.AGAIN,
             max_attempts=_MOST_ATTEMPTS,
             size=None,
         )
--- a/bench/limit_ways.py
+++ b/bench/limit_ways.py
@@ -15,7 +15,7 @@
 from bench.model_desk import EndSink, SentCall, make_plain_desk
 from crankchute.core.fakes import ManualTimers
 from crankchute.core.forward_fakes import make_backends, make_job, make_parts
-from crankchute.core.forward_job import Repeat
+from crankchute.core.forward_job import RetryMode
 from crankchute.core.limit_desk import LimitDesk
 from crankchute.core.limit_shares import WINDOW_MS
 from crankchute.core.registry import Registry
@@ -443,7 +443,7 @@
             arrived_ms=self.now_ms(),
             deadline_ms=self.now_ms() + _LENGTH_MS,
             goal_ms=_LENGTH_MS,
-            repeat=Repeat.AGAIN,
+            repeat=RetryMode.AGAIN,
             size=None,
         )
         instance = self._instances[self.random.choice(names)]
--- a/bench/local_fleet.py
+++ b/bench/local_fleet.py
@@ -4,7 +4,7 @@
 from functools import partial
 
 from crankchute.core.config_check import load_config
-from crankchute.core.dispatcher import Dispatcher, Ports
+from crankchute.core.dispatcher import Dispatcher, DispatcherPorts
 from crankchute.core.fakes import (
     ManualTimers,
     RecordingSink,
@@ -199,7 +199,7 @@
                 for number, name in enumerate(self._models)
             ]
         )
-        ports = Ports(
+        ports = DispatcherPorts(
             engines=LocalEngines(self.timers, self._models),
             timers=self.timers,
             random=random.Random(index),
--- a/bench/model_desk.py
+++ b/bench/model_desk.py
@@ -2,7 +2,7 @@
 
 from crankchute.core.choosers import LEAST_BUSY, choosers
 from crankchute.core.crash_ledger import CrashHistory
-from crankchute.core.forward_desk import ForwardDesk, ForwardPorts
+from crankchute.core.forward_desk import Forwarder, ForwarderPorts
 from crankchute.core.forward_fakes import POOL, FakeJournal, FakeSink
 from crankchute.core.sliding_budget import RetryLimits
 from crankchute.ports.metrics import Metrics
@@ -41,7 +41,7 @@
 
 
 def make_plain_desk(port, parts, hints, history=None):
-    """Return the ForwardDesk of an instance with one pool of plain servers.
+    """Return the Forwarder of an instance with one pool of plain servers.
 
     Args:
       port: A ForwardPort.
@@ -52,7 +52,7 @@
     timers = parts.timers
     if history is None:
         history = CrashHistory(timers.clock.now_ms)
-    ports = ForwardPorts(
+    ports = ForwarderPorts(
         forward=port,
         timers=timers,
         metrics=Metrics(),
@@ -61,6 +61,6 @@
         hints=hints,
         crashes=history,
         note_moved=None,
-        chooser_of={POOL: choosers[LEAST_BUSY](parts)}.get,
+        find_chooser={POOL: choosers[LEAST_BUSY](parts)}.get,
     )
-    return ForwardDesk(ports, _RETRIES)
+    return Forwarder(ports, _RETRIES)
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -17,7 +17,7 @@
 from crankchute.core.engine_board import EngineWorkTracker
 from crankchute.core.engine_chooser import PREDICTED, EngineChooser
 from crankchute.core.fakes import ManualTimers
-from crankchute.core.forward_desk import ForwardDesk, ForwardPorts
+from crankchute.core.forward_desk import Forwarder, ForwarderPorts
 from crankchute.core.forward_fakes import (
     POOL,
     FakeJournal,
@@ -26,7 +26,7 @@
     make_job,
     make_parts,
 )
-from crankchute.core.forward_job import PromptSize, Repeat
+from crankchute.core.forward_job import PromptSize, RetryMode
 from crankchute.core.outcomes import Outcome
 from crankchute.core.reservations import ReservationDesk
 from crankchute.core.return_hints import ReturnHints
@@ -128,7 +128,7 @@
             goal_ms=self.kind.goal_ms,
             gap_ms=self.kind.gap_ms,
             is_stream=True,
-            repeat=Repeat.RESUME,
+            repeat=RetryMode.RESUME,
             size=self.kind.size,
         )
         patience_ms = max(_PATIENCE_MS, _PATIENCE_GOALS * self.kind.goal_ms)
@@ -204,7 +204,7 @@
             journal,
             'instance-boot',
         )
-        ports = ForwardPorts(
+        ports = ForwarderPorts(
             forward=PassEngines(self.timers, figures, backends),
             timers=self.timers,
             metrics=Metrics(),
@@ -213,10 +213,10 @@
             hints=parts.hints,
             crashes=CrashHistory(self.timers.clock.now_ms),
             note_moved=None,
-            chooser_of={POOL: chosen}.get,
+            find_chooser={POOL: chosen}.get,
         )
         limits = RetryLimits(ratio=0.2, slack=100, window_ms=_WINDOW_MS)
-        self.desk = ForwardDesk(ports, limits)
+        self.desk = Forwarder(ports, limits)
 
     def play(self, load, length_ms=_LENGTH_MS):
         """Let callers come, and wait until all are served or gone.
--- a/bench/rest_ways.py
+++ b/bench/rest_ways.py
@@ -13,7 +13,7 @@
 from bench.model_desk import EndSink, SentCall, make_plain_desk
 from crankchute.core.fakes import ManualTimers
 from crankchute.core.forward_fakes import make_backends, make_job, make_parts
-from crankchute.core.forward_job import Repeat
+from crankchute.core.forward_job import RetryMode
 from crankchute.core.outcomes import Outcome
 from crankchute.core.registry import Registry
 from crankchute.core.return_hints import ReturnHints
@@ -219,7 +219,7 @@
             arrived_ms=self.timers.clock.now_ms(),
             deadline_ms=deadline_ms,
             goal_ms=_GOAL_MS,
-            repeat=Repeat.AGAIN,
+            repeat=RetryMode.AGAIN,
             size=None,
         )
         sink = EndSink(partial(self._take_end, deadline_ms, tries))
--- a/crankchute/adapters/forward_journal.py
+++ b/crankchute/adapters/forward_journal.py
@@ -65,7 +65,7 @@
           cause: Why it is sent again, or None for the first time.
         """
         placement = attempt.placement
-        beliefs = placement.beliefs
+        estimate = placement.estimate
         log_change(
             'attempt',
             request=flow.job.request_id,
@@ -75,8 +75,8 @@
             helpers=[one.backend.identity for one in placement.helpers],
             tickets=[one.ticket for one in placement.tickets],
             predicted_ms=_round(placement.first_ms),
-            believed=None if beliefs is None else beliefs.describe(),
-            resume_after=flow.delivered,
+            believed=None if estimate is None else estimate.describe(),
+            resume_after=flow.last_event_id,
             age_ms=_round(flow.now_ms() - flow.job.arrived_ms),
         )
 
@@ -100,7 +100,7 @@
             first_ms=_round(_since(attempt.first_ms, attempt.sent_ms)),
             predicted_ms=_round(placement.first_ms),
             longest_gap_ms=_round(attempt.longest_gap_ms),
-            events=flow.passed,
+            events=flow.forwarded_events,
         )
 
     def log_crash(self, backend, fingerprints):
@@ -159,7 +159,7 @@
         Args:
           name: The order's name.
           request_id: The id of the request that the memory is for.
-          helper: The Helper with its ticket.
+          helper: The PrefillHelper with its ticket.
         """
         log_change(
             'memory_order_unanswered',
@@ -175,7 +175,7 @@
 
         Args:
           request_id: The id of the request that the memory was for.
-          helper: The Helper with its ticket.
+          helper: The PrefillHelper with its ticket.
           tries: How often its engine was asked.
         """
         log_change(
@@ -201,7 +201,7 @@
             outcome=outcome.value,
             code=code,
             attempts=flow.attempts,
-            events=flow.passed,
+            events=flow.forwarded_events,
             after_ms=_round(flow.now_ms() - flow.job.arrived_ms),
         )
 
--- a/crankchute/adapters/service_http.py
+++ b/crankchute/adapters/service_http.py
@@ -2,7 +2,7 @@
 
 from crankchute.adapters.http_client import CallOptions, build_request
 from crankchute.adapters.retry_after import read_retry_after_ms
-from crankchute.core.forward_job import Repeat
+from crankchute.core.forward_job import RetryMode
 from crankchute.ports.forwarding import AnswerHead, ForwardPort, Rejection
 from crankchute.ports.http import WholeResponse
 
@@ -52,7 +52,7 @@
             listener.on_end()
 
         sink = WholeResponse(take, listener.on_failed)
-        options = CallOptions(fresh=job.repeat == Repeat.ONCE)
+        options = CallOptions(fresh=job.repeat == RetryMode.ONCE)
         return self._client.send(address, payload, sink, options)
 
     def ask_listening(self, backend, on_known):
--- a/crankchute/adapters/service_http_test.py
+++ b/crankchute/adapters/service_http_test.py
@@ -3,7 +3,7 @@
 import pytest
 
 from crankchute.adapters.service_http import HttpServices
-from crankchute.core.forward_fakes import ForwardWorld
+from crankchute.core.forward_fakes import ForwardHarness
 from crankchute.core.service_flow import ServiceCall
 
 
@@ -53,12 +53,12 @@
     headers = {'crankchute-not-run': '1'}
     if hint is not None:
         headers['retry-after'] = hint
-    world = ForwardWorld(servers=1)
-    world.desk.port = HttpServices(FakeClient(503, headers))
-    flow, _sink = world.submit(payload=make_call())
+    harness = ForwardHarness(servers=1)
+    harness.desk.port = HttpServices(FakeClient(503, headers))
+    flow, _sink = harness.submit(payload=make_call())
     assert flow.ended
-    assert world.backends[0].paused_until_ms == until_ms
-    before = len(world.desk.port._client.asked)
-    world.submit(payload=make_call())
-    is_asked = len(world.desk.port._client.asked) > before
+    assert harness.backends[0].paused_until_ms == until_ms
+    before = len(harness.desk.port._client.asked)
+    harness.submit(payload=make_call())
+    is_asked = len(harness.desk.port._client.asked) > before
     assert is_asked == (until_ms == 0)
--- a/crankchute/core/choosers.py
+++ b/crankchute/core/choosers.py
@@ -2,7 +2,7 @@
 
 import abc
 
-from crankchute.core.forward_job import Placement, Repeat
+from crankchute.core.forward_job import Placement, RetryMode
 from crankchute.core.outcomes import refuse_not_run
 from crankchute.core.registry import Registry
 
@@ -180,7 +180,7 @@
           job: A ForwardJob.
           attempt: The Attempt.
         """
-        return attempt.heard_ms + job.goal_ms
+        return attempt.last_event_ms + job.goal_ms
 
     def note_sent(self, job, placement):
         """Record that a job is about to be sent to its placement."""
@@ -254,12 +254,12 @@
 
     def stalled_at_ms(self, job, attempt):
         """See Chooser; requests that must not be repeated have no timeout."""
-        if job.repeat != Repeat.AGAIN:
+        if job.repeat != RetryMode.AGAIN:
             return None
         timeout_ms = max(
             job.goal_ms * _RESPONSE_TIMEOUT_FACTOR, _MIN_RESPONSE_TIMEOUT_MS
         )
-        return attempt.heard_ms + timeout_ms
+        return attempt.last_event_ms + timeout_ms
 
     def _load(self, backend):
         chance = backend.suspicion.failure_probability(self.now_ms())
--- a/crankchute/core/completion_machine_test.py
+++ b/crankchute/core/completion_machine_test.py
@@ -16,7 +16,7 @@
 )
 
 from crankchute.core.config_check import load_config
-from crankchute.core.dispatcher import Dispatcher, Ports
+from crankchute.core.dispatcher import Dispatcher, DispatcherPorts
 from crankchute.core.fakes import (
     FakeEngines,
     ManualTimers,
@@ -52,7 +52,7 @@
         self.sinks = []
         self.flows = {}
         limits = AccountLimits(self.timers.clock)
-        ports = Ports(
+        ports = DispatcherPorts(
             engines=self.engines,
             timers=self.timers,
             random=random.Random(1),
--- a/crankchute/core/crash_watch_test.py
+++ b/crankchute/core/crash_watch_test.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from crankchute.core.forward_fakes import ForwardWorld
-from crankchute.core.forward_job import Repeat
+from crankchute.core.forward_fakes import ForwardHarness
+from crankchute.core.forward_job import RetryMode
 from crankchute.core.outcomes import Outcome
 from crankchute.errors import BackendError
 from crankchute.ports.forwarding import AnswerHead, StreamEvent
@@ -17,7 +17,7 @@
 _PROBE_MS = 25
 
 
-class World(ForwardWorld):
+class World(ForwardHarness):
     """A forwarding setup whose servers close connections or crash."""
 
     def __init__(self, servers=40):
@@ -64,44 +64,44 @@
     is_listening, sent
 ):
     """Four submissions of two attempts each."""
-    world = World()
-    sinks = [world.submit_and_cut(is_listening) for _ in range(4)]
-    assert len(world.port.calls) == sent
+    harness = World()
+    sinks = [harness.submit_and_cut(is_listening) for _ in range(4)]
+    assert len(harness.port.calls) == sent
     assert sinks[0].seen == [FAILED]
     assert (sinks[-1].seen == [NOT_RUN]) == (is_listening is False)
 
 
 def test_refusal_says_when_the_quarantine_ends():
-    world = World()
+    harness = World()
     for _ in range(3):
-        sink = world.submit_and_cut(is_listening=False)
+        sink = harness.submit_and_cut(is_listening=False)
     assert sink.seen == [NOT_RUN]
     assert sink.hint_ms == HINT_MS
-    assert world.journal.ends[-1] == 'crashes_servers'
+    assert harness.journal.ends[-1] == 'crashes_servers'
 
 
 @pytest.mark.parametrize('is_cut', [True, False])
 def test_other_failures_do_not_count_as_crashes(is_cut):
     """Time-outs and invalid answers have many other causes."""
-    world = World()
+    harness = World()
     for _ in range(6):
-        world.submit(fingerprint=CULPRIT)
+        harness.submit(fingerprint=CULPRIT)
         for _ in range(2):
-            world.cut(world.port.calls[-1], False, is_cut=is_cut)
-            world.timers.advance(100)
-    assert world.crashes.is_quarantined(CULPRIT) == is_cut
+            harness.cut(harness.port.calls[-1], False, is_cut=is_cut)
+            harness.timers.advance(100)
+    assert harness.crashes.is_quarantined(CULPRIT) == is_cut
 
 
 def test_request_is_not_sent_to_a_fourth_server():
     """The retry waits for the probe after what may be the third crash."""
-    world = World()
-    world.submit_and_cut(is_listening=False)
-    _flow, sink = world.submit(fingerprint=CULPRIT)
-    world.cut(world.port.calls[2], False)
+    harness = World()
+    harness.submit_and_cut(is_listening=False)
+    _flow, sink = harness.submit(fingerprint=CULPRIT)
+    harness.cut(harness.port.calls[2], False)
     assert sink.seen == []
-    world.timers.advance(_PROBE_MS)
+    harness.timers.advance(_PROBE_MS)
     assert sink.seen == [FAILED]
-    assert len(world.port.calls) == 3
+    assert len(harness.port.calls) == 3
 
 
 @pytest.mark.parametrize(
@@ -109,93 +109,93 @@
     [('cancel', []), ('deadline', [FAILED])],
 )
 def test_request_that_ends_during_the_probe_is_not_retried(ends, seen):
-    world = World()
-    world.submit_and_cut(is_listening=False)
-    now_ms = world.timers.clock.now_ms()
-    flow, sink = world.submit(fingerprint=CULPRIT, deadline_ms=now_ms + 5)
-    world.cut(world.port.calls[2], True)
+    harness = World()
+    harness.submit_and_cut(is_listening=False)
+    now_ms = harness.timers.clock.now_ms()
+    flow, sink = harness.submit(fingerprint=CULPRIT, deadline_ms=now_ms + 5)
+    harness.cut(harness.port.calls[2], True)
     if ends == 'cancel':
         flow.cancel()
-    world.timers.advance(_PROBE_MS)
+    harness.timers.advance(_PROBE_MS)
     assert flow.ended
     assert sink.seen == seen
-    assert len(world.port.calls) == 3
+    assert len(harness.port.calls) == 3
 
 
 def test_retry_without_earlier_crashes_does_not_wait():
-    world = World()
-    world.submit(fingerprint=8)
-    world.cut(world.port.calls[0], False)
-    assert len(world.port.calls) == 2
+    harness = World()
+    harness.submit(fingerprint=8)
+    harness.cut(harness.port.calls[0], False)
+    assert len(harness.port.calls) == 2
 
 
 def test_stream_of_a_quarantined_request_is_not_resumed():
     """A copy in progress during the quarantine gets no further attempt."""
-    world = World()
-    fields = {'is_stream': True, 'repeat': Repeat.RESUME}
-    _flow, sink = world.submit(fingerprint=CULPRIT, **fields)
-    copy_call = world.port.calls[0]
+    harness = World()
+    fields = {'is_stream': True, 'repeat': RetryMode.RESUME}
+    _flow, sink = harness.submit(fingerprint=CULPRIT, **fields)
+    copy_call = harness.port.calls[0]
     copy_call.listener.on_head(AnswerHead(200))
     copy_call.listener.on_event(StreamEvent(1, b'id: 1\n\n'))
     for _ in range(2):
-        world.submit_and_cut(is_listening=False)
-    sent = len(world.port.calls)
-    world.cut(copy_call, False)
-    world.timers.advance(_PROBE_MS)
+        harness.submit_and_cut(is_listening=False)
+    sent = len(harness.port.calls)
+    harness.cut(copy_call, False)
+    harness.timers.advance(_PROBE_MS)
     assert sink.seen[-1] == FAILED
-    assert len(world.port.calls) == sent
+    assert len(harness.port.calls) == sent
 
 
 @pytest.mark.parametrize('rounds', [1, 2, 3, 5])
 def test_bystander_is_served(rounds):
     """Its servers crashed under another request, present each time."""
-    world = World()
+    harness = World()
     for _ in range(rounds):
-        first = len(world.port.calls)
-        world.submit(fingerprint=CULPRIT, max_attempts=1)
-        world.submit(fingerprint=BYSTANDER, max_attempts=1)
-        both = world.port.calls[first:]
+        first = len(harness.port.calls)
+        harness.submit(fingerprint=CULPRIT, max_attempts=1)
+        harness.submit(fingerprint=BYSTANDER, max_attempts=1)
+        both = harness.port.calls[first:]
         if len(both) < 2:
             break
         for call in both:
             # Put both on one server: a suspect would otherwise run alone.
             call.placement.backend = both[0].placement.backend
         for call in both:
-            world.cut(call, is_listening=False)
-        world.timers.advance(100)
+            harness.cut(call, is_listening=False)
+        harness.timers.advance(100)
         # The culprit also runs without the bystander, and crashes a server.
-        world.submit_and_cut(is_listening=False, max_attempts=1)
-    assert world.submit_and_answer(BYSTANDER) == [('answer', 200)]
+        harness.submit_and_cut(is_listening=False, max_attempts=1)
+    assert harness.submit_and_answer(BYSTANDER) == [('answer', 200)]
 
 
 def test_possible_culprit_gets_one_attempt_per_submission():
     """Two requests always present together are both left unquarantined."""
-    world = World()
+    harness = World()
     for _ in range(3):
-        first = len(world.port.calls)
-        world.submit(fingerprint=CULPRIT, max_attempts=1)
-        world.submit(fingerprint=BYSTANDER, max_attempts=1)
-        both = world.port.calls[first:]
+        first = len(harness.port.calls)
+        harness.submit(fingerprint=CULPRIT, max_attempts=1)
+        harness.submit(fingerprint=BYSTANDER, max_attempts=1)
+        both = harness.port.calls[first:]
         for call in both:
             call.placement.backend = both[0].placement.backend
         for call in both:
-            world.cut(call, is_listening=False)
-        world.timers.advance(100)
-    before = len(world.port.calls)
-    assert world.submit_and_cut(is_listening=False).seen == [FAILED]
-    assert len(world.port.calls) - before == 1
+            harness.cut(call, is_listening=False)
+        harness.timers.advance(100)
+    before = len(harness.port.calls)
+    assert harness.submit_and_cut(is_listening=False).seen == [FAILED]
+    assert len(harness.port.calls) - before == 1
 
 
 def test_crashes_of_other_cause_quarantine_no_request():
     """A request is retried while servers go down for another reason."""
-    world = World()
+    harness = World()
     for copies in range(18):
-        world.submit(fingerprint=CULPRIT, max_attempts=1)
-        world.cut(world.port.calls[-1], is_listening=False)
+        harness.submit(fingerprint=CULPRIT, max_attempts=1)
+        harness.cut(harness.port.calls[-1], is_listening=False)
         if copies % 6 < 5:
             continue
-        world.timers.advance(1000)
-        assert world.submit_and_answer(CULPRIT) == [('answer', 200)]
+        harness.timers.advance(1000)
+        assert harness.submit_and_answer(CULPRIT) == [('answer', 200)]
 
 
 @pytest.mark.parametrize(
@@ -204,33 +204,33 @@
 )
 def test_suspect_request_runs_on_an_idle_server(crashes, is_alone):
     """A further crash would otherwise interrupt the answers of others."""
-    world = World(servers=6)
-    world.submit(fingerprint=BYSTANDER, max_attempts=1)
-    bystander = world.port.calls[-1]
+    harness = World(servers=6)
+    harness.submit(fingerprint=BYSTANDER, max_attempts=1)
+    bystander = harness.port.calls[-1]
     for number in range(crashes):
-        now_ms = world.timers.clock.now_ms()
-        world.crashes.note_crash(f'gone-{number}', now_ms, [CULPRIT])
-    world.submit(fingerprint=CULPRIT)
-    chosen = world.port.calls[-1].placement.backend
+        now_ms = harness.timers.clock.now_ms()
+        harness.crashes.note_crash(f'gone-{number}', now_ms, [CULPRIT])
+    harness.submit(fingerprint=CULPRIT)
+    chosen = harness.port.calls[-1].placement.backend
     assert (chosen is not bystander.placement.backend) == is_alone
 
 
 def test_suspect_request_shares_a_server_if_none_is_idle():
-    world = World(servers=1)
-    world.submit(fingerprint=BYSTANDER)
-    world.crashes.note_crash('gone', 0, [CULPRIT])
-    world.submit(fingerprint=CULPRIT)
-    assert len(world.port.calls) == 2
+    harness = World(servers=1)
+    harness.submit(fingerprint=BYSTANDER)
+    harness.crashes.note_crash('gone', 0, [CULPRIT])
+    harness.submit(fingerprint=CULPRIT)
+    assert len(harness.port.calls) == 2
 
 
 def test_crashed_server_is_not_chosen_while_still_listed():
     """It stays listed until it has missed three heartbeats."""
-    world = World(servers=2)
-    backend = world.backends[0]
-    world.submit(fingerprint=BYSTANDER, max_attempts=1)
-    world.cut(world.port.calls[0], is_listening=False)
-    world.timers.advance(_PROBE_MS)
+    harness = World(servers=2)
+    backend = harness.backends[0]
+    harness.submit(fingerprint=BYSTANDER, max_attempts=1)
+    harness.cut(harness.port.calls[0], is_listening=False)
+    harness.timers.advance(_PROBE_MS)
     assert backend.breaker.is_open
-    world.backends.insert(0, backend)
-    world.submit(fingerprint=CULPRIT)
-    assert world.port.calls[-1].placement.backend is not backend
+    harness.backends.insert(0, backend)
+    harness.submit(fingerprint=CULPRIT)
+    assert harness.port.calls[-1].placement.backend is not backend
--- a/crankchute/core/dispatcher.py
+++ b/crankchute/core/dispatcher.py
@@ -6,7 +6,7 @@
 )
 from crankchute.core.crash_ledger import CrashHistory
 from crankchute.core.fair_queue import LaneQueue
-from crankchute.core.flow_desk import MIN_RETRY_AFTER_MS, FlowDesk
+from crankchute.core.flow_desk import MIN_RETRY_AFTER_MS, CompletionContext
 from crankchute.core.group_flow import GroupFlow
 from crankchute.core.outcomes import Outcome, refuse_not_run
 from crankchute.core.policies import estimate_start_ms
@@ -18,7 +18,7 @@
 _MAX_WAITING = 5000
 
 
-class Ports:
+class DispatcherPorts:
     """The dependencies of a Dispatcher."""
 
     __slots__ = ('crashes', 'engines', 'metrics', 'random', 'timers')
@@ -54,14 +54,14 @@
         """Create a dispatcher without a configuration.
 
         Args:
-          ports: The Ports.
+          ports: The DispatcherPorts.
           fleet: The Fleet.
           limits: The AccountLimits.
           data_centre: The name of the data centre of this instance.
         """
         self._ports = ports
         self._limits = limits
-        self._desk = FlowDesk(self, ports, data_centre)
+        self._context = CompletionContext(self, ports, data_centre)
         self._queue = LaneQueue()
         self._pumping = False
         self._pump_again = False
@@ -182,11 +182,11 @@
     def _make_flow(self, job, sink):
         needed = job.tokens + job.max_tokens
         if needed > _largest_memory(self.candidates(job)):
-            return GroupFlow(job, self._desk, sink)
-        return SingleFlow(job, self._desk, sink)
+            return GroupFlow(job, self._context, sink)
+        return SingleFlow(job, self._context, sink)
 
     def _check(self, job):
-        refusal = self._desk.crash_watch.find_refusal(job.fingerprint)
+        refusal = self._context.crash_watch.find_refusal(job.fingerprint)
         if refusal is not None:
             return refusal
         if len(self._queue) >= _MAX_WAITING:
@@ -228,7 +228,7 @@
         )
 
     def _predict_ms(self, job, candidates):
-        view = self._desk.view(job)
+        view = self._context.view(job)
         starts_ms = [estimate_start_ms(one, view) for one in candidates]
         rate = sum(one.load.prefill_rate for one in candidates)
         queued_ms = self._queue.tokens_ahead(job) / rate
--- a/crankchute/core/dispatcher_test.py
+++ b/crankchute/core/dispatcher_test.py
@@ -9,7 +9,7 @@
 import pytest
 
 from crankchute.core.config_check import load_config
-from crankchute.core.dispatcher import Dispatcher, Ports
+from crankchute.core.dispatcher import Dispatcher, DispatcherPorts
 from crankchute.core.fakes import (
     FakeEngines,
     ManualTimers,
@@ -40,7 +40,7 @@
         self.fleet.replace(
             [make_listed(f'engine-{one:02}') for one in range(engines)]
         )
-        ports = Ports(
+        ports = DispatcherPorts(
             engines=self.engines,
             timers=self.timers,
             random=random.Random(1),
--- a/crankchute/core/engine_chooser.py
+++ b/crankchute/core/engine_chooser.py
@@ -26,7 +26,11 @@
     estimate_worth,
 )
 from crankchute.core.engine_shortlist import CandidateFilter
-from crankchute.core.forward_job import Beliefs, Helper, Placement
+from crankchute.core.forward_job import (
+    PlacementEstimate,
+    PrefillHelper,
+    Placement,
+)
 from crankchute.core.length_demand import LONG_PROMPT_FACTOR
 from crankchute.core.prompt_admission import (
     AdmissionEstimate,
@@ -104,7 +108,7 @@
         the predicted end of the prefills that were sent to it.
         """
         state = self._work_tracker.state(attempt.backend.identity)
-        since_ms = max(attempt.heard_ms, state.prefill_until_ms)
+        since_ms = max(attempt.last_event_ms, state.prefill_until_ms)
         if attempt.started:
             gap_ms = (job.gap_ms or 0) * _GAP_TIMEOUT_FACTOR
             return since_ms + max(gap_ms, _MIN_GAP_TIMEOUT_MS)
@@ -119,7 +123,7 @@
     def overdue_at_ms(self, job, attempt):
         """See Chooser."""
         state = self._work_tracker.state(attempt.backend.identity)
-        since_ms = max(attempt.heard_ms, state.prefill_until_ms)
+        since_ms = max(attempt.last_event_ms, state.prefill_until_ms)
         first_ms = attempt.placement.first_ms or 0
         return since_ms + _OVERDUE_MS + first_ms * _OVERDUE_FACTOR
 
@@ -220,7 +224,9 @@
             self._candidate_filter.estimate_network_cost_s(candidate.backend)
             * _DELAY_COST_PER_SECOND
         )
-        return cost + _cost_of_memory(self._figures, job.size.memory, candidate)
+        return cost + _cost_of_memory(
+            self._figures, job.size.kv_tokens, candidate
+        )
 
     def _plan_split(self, job, candidates):
         """Return the best plan for each number of engines.
@@ -247,9 +253,9 @@
 
     def _plan_parts(self, job, candidates, parts):
         prefill_ms = estimate_prefill_ms(self._figures, job.size.prompt, parts)
-        memory = job.size.memory / parts
+        memory = job.size.kv_tokens / parts
         if parts == 1 or count_required_parts(self._figures, job) == 1:
-            memory = job.size.memory
+            memory = job.size.kv_tokens
         remaining_ms = max(self._remaining_goal_ms(job), 1)
 
         def estimate_cost(candidate):
@@ -322,7 +328,7 @@
         reserved_tokens = sum(helper.tokens for helper in helpers)
         decoder = plan.chosen[0].backend
         decoder_work = self._make_work(job, key, decoder, plan)
-        decoder_work.memory = max(job.size.memory - reserved_tokens, 0)
+        decoder_work.memory = max(job.size.kv_tokens - reserved_tokens, 0)
         decoder_work.is_decoding = True
         works = [decoder_work]
         for helper in helpers:
@@ -335,14 +341,14 @@
             helpers=helpers,
             key=PlacementKey(tuple(works)),
         )
-        placement.beliefs = self._make_beliefs(plan)
+        placement.estimate = self._make_estimate(plan)
         return placement
 
-    def _make_beliefs(self, plan):
+    def _make_estimate(self, plan):
         decoder = plan.chosen[0]
         state = decoder.state
         writers = state.count_requests(self.now_ms(), self._decode_ms)
-        return Beliefs(
+        return PlacementEstimate(
             slowness=max(candidate.slowness for candidate in plan.chosen),
             risk=sum(candidate.risk for candidate in plan.chosen),
             wait_ms=state.wait_ms(self.now_ms()),
@@ -356,12 +362,12 @@
     def _make_helpers(self, job, plan):
         backends = [candidate.backend for candidate in plan.chosen[1:]]
         if count_required_parts(self._figures, job) == 1:
-            return tuple(Helper(backend) for backend in backends)
+            return tuple(PrefillHelper(backend) for backend in backends)
         share_tokens = (
-            int(job.size.memory / len(plan.chosen) * _RESERVATION_MARGIN) + 1
+            int(job.size.kv_tokens / len(plan.chosen) * _RESERVATION_MARGIN) + 1
         )
         return tuple(
-            Helper(backend, self._parts.new_ticket(), share_tokens)
+            PrefillHelper(backend, self._parts.new_ticket(), share_tokens)
             for backend in backends
         )
 
--- a/crankchute/core/engine_chooser_test.py
+++ b/crankchute/core/engine_chooser_test.py
@@ -8,12 +8,12 @@
 from crankchute.core.fakes import ManualTimers
 from crankchute.core.forward_attempt import Attempt
 from crankchute.core.forward_fakes import (
-    ForwardWorld,
+    ForwardHarness,
     make_backends,
     make_job,
     make_parts,
 )
-from crankchute.core.forward_job import PromptSize, Repeat
+from crankchute.core.forward_job import PromptSize, RetryMode
 from crankchute.core.outcomes import Refusal
 from crankchute.core.seen_load import ReportedLoad
 from crankchute.ports.forwarding import AnswerHead, StreamEvent
@@ -104,7 +104,7 @@
     reserved = sum(helper.tokens for helper in placement.helpers)
     if has_tickets:
         largest = max(helper.tokens for helper in placement.helpers)
-        assert size.memory - reserved <= largest
+        assert size.kv_tokens - reserved <= largest
         assert largest < 232_000 / 2 * 1.1
 
 
@@ -161,10 +161,10 @@
 class FakeAttempt:
     """The attributes of an attempt that timeouts depend on."""
 
-    def __init__(self, placement, heard_ms):
+    def __init__(self, placement, last_event_ms):
         self.placement = placement
         self.backend = placement.backend
-        self.heard_ms = heard_ms
+        self.last_event_ms = last_event_ms
         self.started = True
 
 
@@ -186,24 +186,28 @@
 
 def test_hanging_engine_is_suspected_before_callers_cancel():
     """The suspicion arises during the wait and outlasts the request."""
-    world = ForwardWorld()
-    world.chooser.overdue_at_ms = lambda _job, attempt: attempt.heard_ms + 450
-    flow, _sink = world.submit(is_stream=True, repeat=Repeat.RESUME)
-    backend = world.port.calls[0].placement.backend
-    world.timers.advance(440)
+    harness = ForwardHarness()
+    harness.chooser.overdue_at_ms = lambda _job, attempt: (
+        attempt.last_event_ms + 450
+    )
+    flow, _sink = harness.submit(is_stream=True, repeat=RetryMode.RESUME)
+    backend = harness.port.calls[0].placement.backend
+    harness.timers.advance(440)
     assert not backend.suspicion.local_counts(440).failures
-    world.timers.advance(20)
+    harness.timers.advance(20)
     assert round(backend.suspicion.local_counts(460).failures) == 1
     flow.cancel()
     assert round(backend.suspicion.local_counts(460).failures) == 1
 
 
 def test_late_response_clears_the_suspicion():
-    world = ForwardWorld()
-    world.chooser.overdue_at_ms = lambda _job, attempt: attempt.heard_ms + 450
-    world.submit(is_stream=True, repeat=Repeat.RESUME)
-    call = world.port.calls[0]
-    world.timers.advance(460)
+    harness = ForwardHarness()
+    harness.chooser.overdue_at_ms = lambda _job, attempt: (
+        attempt.last_event_ms + 450
+    )
+    harness.submit(is_stream=True, repeat=RetryMode.RESUME)
+    call = harness.port.calls[0]
+    harness.timers.advance(460)
     call.listener.on_head(AnswerHead(200))
     call.listener.on_event(StreamEvent(0, b''))
     backend = call.placement.backend
@@ -215,7 +219,7 @@
     world.place(LONG, goal_ms=60_000)
     job, placement = world.place(SHORT)
     attempt = Attempt(None, None, placement)
-    attempt.heard_ms = 0
+    attempt.last_event_ms = 0
     state = world.work_tracker.state(placement.backend.identity)
     due_ms = world.chooser.overdue_at_ms(job, attempt)
     assert due_ms > state.prefill_until_ms + placement.first_ms
@@ -286,4 +290,4 @@
         world.work_tracker.add(work)
         world.work_tracker.start('server-00', work.key)
     _job, placement = world.place(SHORT)
-    assert placement.beliefs.describe()['lacking'] == lacking
+    assert placement.estimate.describe()['lacking'] == lacking
--- a/crankchute/core/engine_plans.py
+++ b/crankchute/core/engine_plans.py
@@ -141,7 +141,7 @@
       job: A ForwardJob with a size.
     """
     usable = figures.memory_tokens * _MAX_MEMORY_SHARE
-    needed = job.size.memory
+    needed = job.size.kv_tokens
     return 1 if needed <= usable else -int(-needed // usable)
 
 
--- a/crankchute/core/engine_shortlist_test.py
+++ b/crankchute/core/engine_shortlist_test.py
@@ -42,7 +42,7 @@
             for name in ('_SHORT_LIMIT', '_LONG_LIMIT', '_MAX_RANKED'):
                 patch.setattr(f'{MODULE}.{name}', NO_LIMIT)
             exhaustive = make_chooser(engines, seed, busy).choose(job, set())
-        extra += shortlisted.beliefs.cost - exhaustive.beliefs.cost
+        extra += shortlisted.estimate.cost - exhaustive.estimate.cost
     return round(extra / 30 * 1000)
 
 
--- a/crankchute/core/event_stream.py
+++ b/crankchute/core/event_stream.py
@@ -13,7 +13,7 @@
 _BOUNDARY = re.compile(rb'\r?\n\r?\n')
 
 
-class EventCutter:
+class EventSplitter:
     """Buffers the bytes of one stream until an event is complete."""
 
     __slots__ = ('_buffer',)
@@ -22,7 +22,7 @@
         self._buffer = b''
 
     @property
-    def has_rest(self):
+    def has_partial_event(self):
         """Whether an incomplete event is buffered."""
         return bool(self._buffer)
 
--- a/crankchute/core/event_stream_test.py
+++ b/crankchute/core/event_stream_test.py
@@ -4,7 +4,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from crankchute.core.event_stream import EventCutter, parse_event_id
+from crankchute.core.event_stream import EventSplitter, parse_event_id
 
 STREAM = (
     b'id: 1\ndata: a\n\n'
@@ -16,20 +16,20 @@
 
 @given(st.lists(st.integers(0, len(STREAM)), max_size=8))
 def test_events_do_not_depend_on_chunk_boundaries(cuts):
-    splitter = EventCutter()
+    splitter = EventSplitter()
     offsets = sorted({0, len(STREAM), *cuts})
     events = []
     for start, end in zip(offsets, offsets[1:]):
         events.extend(splitter.feed(STREAM[start:end]))
     assert [event.number for event in events] == [1, 2, None, 3]
     assert b''.join(event.payload for event in events) == STREAM
-    assert not splitter.has_rest
+    assert not splitter.has_partial_event
 
 
 def test_incomplete_event_is_buffered():
-    splitter = EventCutter()
+    splitter = EventSplitter()
     assert splitter.feed(b'id: 1\ndata: half') == []
-    assert splitter.has_rest
+    assert splitter.has_partial_event
 
 
 @pytest.mark.parametrize(
--- a/crankchute/core/fair_queue.py
+++ b/crankchute/core/fair_queue.py
@@ -74,7 +74,7 @@
         self._ranks[flow.job.request_id] = rank
         self._waiting[rank] = flow
 
-    def first(self):
+    def peek(self):
         """Return the flow at the head of the queue, or None."""
         return self._waiting.peekitem(0)[1] if self._waiting else None
 
@@ -152,13 +152,13 @@
 
 
 def _start_in_order(lane, start):
-    flow = lane.first()
+    flow = lane.peek()
     while flow is not None:
         rank = lane.discard(flow)
         if not start(flow):
             lane.restore(flow, rank)
             break
-        flow = lane.first()
+        flow = lane.peek()
 
 
 def _lane_key(job):
--- a/crankchute/core/flow_desk.py
+++ b/crankchute/core/flow_desk.py
@@ -20,7 +20,7 @@
 _FIRST_TOKEN_FACTOR = 3
 
 
-class FlowDesk(AttemptContext):
+class CompletionContext(AttemptContext):
     """The interface between a dispatcher and its flows."""
 
     def __init__(self, dispatcher, ports, data_centre):
@@ -28,7 +28,7 @@
 
         Args:
           dispatcher: The Dispatcher.
-          ports: The Ports.
+          ports: The DispatcherPorts.
           data_centre: The name of the data centre of this instance.
         """
         self._dispatcher = dispatcher
@@ -97,16 +97,16 @@
         members.sort(key=_group_preference)
         return sorted(members[:size], key=_identity_of)
 
-    def choose_spare(self, job, used):
+    def choose_replacement(self, job, excluded):
         """Choose a replacement for a failed member of a group.
 
         Args:
           job: The Job.
-          used: Ids of engines that are excluded.
+          excluded: Ids of engines that are excluded.
         Returns:
           A Backend or None.
         """
-        spares = self._dispatcher.group_candidates(job, used)
+        spares = self._dispatcher.group_candidates(job, excluded)
         return max(spares, key=_free_memory, default=None)
 
     def predict_ms(self, backend, job):
@@ -136,7 +136,7 @@
         if not attempt.started:
             first_ms = attempt.placement.first_ms
             allowed_ms += first_ms * _FIRST_TOKEN_FACTOR
-        return attempt.heard_ms + allowed_ms
+        return attempt.last_event_ms + allowed_ms
 
     def take_retry(self, job):
         """Take a retry from the account's budget; return False if empty."""
@@ -171,9 +171,9 @@
     def note_rejection(self, flow, attempt, rejection):
         """Pause an engine for the time that it asked for."""
         self.metrics.count('engine_refusals', rejection.code)
-        self.leave_alone(attempt.backend, rejection.retry_after_ms)
+        self.pause_backend(attempt.backend, rejection.retry_after_ms)
 
-    def leave_alone(self, backend, pause_ms):
+    def pause_backend(self, backend, pause_ms):
         """Send no requests to an engine for some time.
 
         Args:
--- a/crankchute/core/forward_attempt.py
+++ b/crankchute/core/forward_attempt.py
@@ -17,14 +17,15 @@
       placement: The Placement.
       sent_ms: When the request was sent, or None.
       first_ms: When the first event arrived, or None.
-      heard_ms: When the last event arrived, or else when the request was sent.
+      last_event_ms: When the last event arrived, or else when the request was
+        sent.
       longest_gap_ms: The longest gap between two events, in milliseconds.
     """
 
     __slots__ = (
         '_body',
         '_call',
-        '_desk',
+        '_context',
         '_flow',
         '_head',
         '_is_closed',
@@ -32,22 +33,22 @@
         '_reservation',
         '_watchdog',
         'first_ms',
-        'heard_ms',
+        'last_event_ms',
         'longest_gap_ms',
         'placement',
         'sent_ms',
     )
 
-    def __init__(self, flow, desk, placement):
+    def __init__(self, flow, context, placement):
         """Create an attempt; start() reserves memory and sends the request.
 
         Args:
           flow: The ForwardFlow.
-          desk: The ForwardDesk, or another AttemptContext.
+          context: The Forwarder, or another AttemptContext.
           placement: A Placement.
         """
         self._flow = flow
-        self._desk = desk
+        self._context = context
         self._body = []
         self._call = None
         self._head = None
@@ -56,7 +57,7 @@
         self._reservation = None
         self._watchdog = None
         self.first_ms = None
-        self.heard_ms = None
+        self.last_event_ms = None
         self.longest_gap_ms = 0
         self.placement = placement
         self.sent_ms = None
@@ -74,7 +75,7 @@
     def start(self):
         """Reserve the memory that the placement needs, then send."""
         if self.placement.tickets:
-            self._reservation = self._desk.reserve(
+            self._reservation = self._context.reserve(
                 self._flow,
                 self.placement,
                 self._on_reserved,
@@ -125,7 +126,7 @@
             return
         self._head = head
         if head.load is not None:
-            self._desk.note_load(self._flow, self, head.load)
+            self._context.note_load(self._flow, self, head.load)
 
     def on_body(self, chunk):
         """See AttemptListener."""
@@ -142,7 +143,7 @@
         """See AttemptListener."""
         if not self._close():
             return
-        now_ms = self._desk.now_ms()
+        now_ms = self._context.now_ms()
         if self._head.status >= FIRST_SERVER_ERROR:
             self.backend.note_failed(now_ms, _SERVER_ERROR_WEIGHT)
         else:
@@ -158,22 +159,22 @@
     def on_failed(self, exc):
         """See AttemptListener."""
         if self._close():
-            self.backend.note_failed(self._desk.now_ms())
+            self.backend.note_failed(self._context.now_ms())
             self._flow.on_attempt_failed(self, exc)
 
     def _note_event(self):
-        now_ms = self._desk.now_ms()
+        now_ms = self._context.now_ms()
         if self.first_ms is None:
             self.first_ms = now_ms
             if self._reservation is not None:
                 self._reservation.note_used()
             if self._is_overdue:
                 self.backend.suspicion.retract_failure(now_ms)
-            self._desk.note_first_event(self._flow, self)
+            self._context.note_first_event(self._flow, self)
         else:
-            gap_ms = now_ms - self.heard_ms
+            gap_ms = now_ms - self.last_event_ms
             self.longest_gap_ms = max(self.longest_gap_ms, gap_ms)
-        self.heard_ms = now_ms
+        self.last_event_ms = now_ms
 
     def _on_reserved(self, refused):
         if self._is_closed:
@@ -185,19 +186,19 @@
             self._send()
 
     def _send(self):
-        self.sent_ms = self._desk.now_ms()
+        self.sent_ms = self._context.now_ms()
         self.backend.in_flight += 1
         self.backend.breaker.note_start()
-        self.heard_ms = self.sent_ms
+        self.last_event_ms = self.sent_ms
         self._flow.on_attempt_sent(self)
         self._arm_watchdog()
         job = self._flow.job
         order = AttemptOrder(
             self._flow.attempts,
             job.remaining_ms(self.sent_ms),
-            self._flow.delivered,
+            self._flow.last_event_id,
         )
-        self._call = self._desk.port.send(job, self.placement, order, self)
+        self._call = self._context.port.send(job, self.placement, order, self)
 
     def _arm_watchdog(self):
         """Wait until the server is overdue or has stalled.
@@ -211,11 +212,11 @@
             return
         due_ms = stalled_at_ms
         if checks_overdue:
-            overdue_ms = self._desk.overdue_at_ms(self._flow, self)
+            overdue_ms = self._context.overdue_at_ms(self._flow, self)
             due_ms = min(overdue_ms, stalled_at_ms or overdue_ms)
-        delay_ms = due_ms - self._desk.now_ms()
+        delay_ms = due_ms - self._context.now_ms()
         if delay_ms > 0:
-            self._watchdog = self._desk.after(delay_ms, self._on_watchdog)
+            self._watchdog = self._context.after(delay_ms, self._on_watchdog)
         elif checks_overdue:
             self._note_overdue()
             self._arm_watchdog()
@@ -228,7 +229,7 @@
         Unused reservations have a limit of their own, so that a hung engine
         does not tie up memory at its helpers until the caller disconnects.
         """
-        until_ms = self._desk.stalled_at_ms(self._flow, self)
+        until_ms = self._context.stalled_at_ms(self._flow, self)
         if self._reservation is None or self.started:
             return until_ms
         unused_ms = self._reservation.unused_until_ms
@@ -237,7 +238,7 @@
     def _note_overdue(self):
         """Record a suspected failure, since the first event is overdue."""
         self._is_overdue = True
-        self.backend.suspicion.note_failure(self._desk.now_ms())
+        self.backend.suspicion.note_failure(self._context.now_ms())
 
     def _on_watchdog(self):
         self._watchdog = None
@@ -258,8 +259,8 @@
             self._watchdog.cancel()
         if self.sent_ms is not None:
             self.backend.in_flight -= 1
-            self._desk.note_left(self._flow, self)
+            self._context.note_left(self._flow, self)
         if self._reservation is not None:
             self._reservation.release()
-        self._desk.note_freed(self._flow, self.placement)
+        self._context.note_freed(self._flow, self.placement)
         return True
--- a/crankchute/core/forward_desk.py
+++ b/crankchute/core/forward_desk.py
@@ -18,7 +18,7 @@
 from crankchute.ports.forwarding import MOVED
 
 
-class ForwardDesk(AttemptContext):
+class Forwarder(AttemptContext):
     """Serves forwarded requests and tracks those in progress.
 
     Attributes:
@@ -27,14 +27,14 @@
       journal: A ForwardJournal, which logs decisions.
       crash_watch: The CrashDetector.
       lending: The TurnLending.
-      chooser_of: A function that maps a pool name to a Chooser or None.
+      find_chooser: A function that maps a pool name to a Chooser or None.
     """
 
     def __init__(self, ports, limits, ended_counter='requests_ended'):
         """Create an instance without requests.
 
         Args:
-          ports: A ForwardPorts.
+          ports: A ForwarderPorts.
           limits: RetryLimits.
           ended_counter: The name of the metric that counts ended requests by
             outcome.
@@ -42,7 +42,7 @@
         self._ended_counter = ended_counter
         self._timers = ports.timers
         self._limits = limits
-        self.chooser_of = ports.chooser_of
+        self.find_chooser = ports.find_chooser
         self._budgets = {}
         self._instances = 1
         self._flows = set()
@@ -136,7 +136,7 @@
         Returns:
           A Placement, or a Refusal.
         """
-        chooser = self.chooser_of(flow.job.pool)
+        chooser = self.find_chooser(flow.job.pool)
         if chooser is None:
             return refuse_not_run(
                 'no_pool',
@@ -146,7 +146,7 @@
         if refusal is not None:
             return refusal
         if self.crash_watch.is_suspect(flow.job.fingerprint):
-            choice = choose_alone(chooser, flow.job, avoided)
+            choice = choose_isolated(chooser, flow.job, avoided)
         else:
             choice = chooser.choose(flow.job, avoided)
         if isinstance(choice, Placement):
@@ -155,14 +155,14 @@
 
     def stalled_at_ms(self, flow, attempt):
         """Return the time when a silent attempt counts as stalled, or None."""
-        chooser = self.chooser_of(flow.job.pool)
+        chooser = self.find_chooser(flow.job.pool)
         if chooser is None:
             return None
         return chooser.stalled_at_ms(flow.job, attempt)
 
     def overdue_at_ms(self, flow, attempt):
         """Return when an attempt without an event counts as overdue."""
-        chooser = self.chooser_of(flow.job.pool)
+        chooser = self.find_chooser(flow.job.pool)
         if chooser is None:
             return flow.job.deadline_ms
         return chooser.overdue_at_ms(flow.job, attempt)
@@ -179,7 +179,8 @@
         Args:
           flow: The ForwardFlow.
           placement: A Placement with tickets.
-          on_done: A function of the Helpers that refused the reservation.
+          on_done: A function of the PrefillHelpers that refused the
+            reservation.
         Returns:
           A Reservation.
         """
@@ -191,7 +192,7 @@
 
     def note_freed(self, flow, placement):
         """Record that a placement no longer uses its servers."""
-        chooser = self.chooser_of(flow.job.pool)
+        chooser = self.find_chooser(flow.job.pool)
         if chooser is not None:
             chooser.note_end(flow.job, placement)
 
@@ -202,7 +203,7 @@
     def note_first_event(self, flow, attempt):
         """Record the first event of an attempt and its prediction error."""
         placement = attempt.placement
-        chooser = self.chooser_of(flow.job.pool)
+        chooser = self.find_chooser(flow.job.pool)
         if chooser is not None:
             chooser.note_first_event(flow.job, placement)
         if flow.job.size is None or placement.first_ms is None:
@@ -215,7 +216,7 @@
 
     def note_load(self, flow, attempt, load):
         """Record the load that a server reported with its answer."""
-        chooser = self.chooser_of(flow.job.pool)
+        chooser = self.find_chooser(flow.job.pool)
         if chooser is not None:
             chooser.note_load(attempt.backend, load)
 
@@ -258,7 +259,7 @@
         return budget
 
 
-def choose_alone(chooser, job, avoided):
+def choose_isolated(chooser, job, avoided):
     """Choose a server for a request that is suspected of crashing servers.
 
     An idle server is preferred: if it crashes as well, no other request is
@@ -277,11 +278,11 @@
     return chooser.choose(job, avoided)
 
 
-class ForwardPorts:
-    """The dependencies of a ForwardDesk."""
+class ForwarderPorts:
+    """The dependencies of a Forwarder."""
 
     __slots__ = (
-        'chooser_of',
+        'find_chooser',
         'crashes',
         'forward',
         'hints',
@@ -300,7 +301,7 @@
             `metrics`, a Metrics port; `journal`, a ForwardJournal;
             `reservations`, a ReservationDesk; `hints`, ReturnHints;
             `crashes`, a CrashHistory;
-            `chooser_of`, a function that maps a pool name to a Chooser or
+            `find_chooser`, a function that maps a pool name to a Chooser or
             None;
             `note_moved`, a function of a Backend whose address another server
             has taken over, as that server reported.
--- a/crankchute/core/forward_fakes.py
+++ b/crankchute/core/forward_fakes.py
@@ -9,12 +9,12 @@
 from crankchute.core.fakes import ManualTimers
 from crankchute.core.fleet import Backend, ListedServer
 from crankchute.core.forward_config import PoolConfig
-from crankchute.core.forward_desk import ForwardDesk, ForwardPorts
+from crankchute.core.forward_desk import Forwarder, ForwarderPorts
 from crankchute.core.forward_job import (
     ForwardJob,
     Placement,
     PromptSize,
-    Repeat,
+    RetryMode,
 )
 from crankchute.core.limit_desk import LimitDesk
 from crankchute.core.return_hints import ReturnHints
@@ -93,7 +93,8 @@
     """Records memory orders until the test answers them.
 
     Attributes:
-      asked: The unanswered reserve orders, pairs of a Helper and a callback.
+      asked: The unanswered reserve orders, pairs of a PrefillHelper and a
+        callback.
       released: The tickets of release orders, a list.
       answers_release: Whether release orders are answered, a bool.
     """
@@ -266,7 +267,7 @@
     """Chooses the first usable server.
 
     Attributes:
-      helpers: The Helpers of the next placements, a tuple.
+      helpers: The PrefillHelpers of the next placements, a tuple.
       freed: The placements that ended, a list.
       allowed_ms: How long servers may be silent, in milliseconds, or None for
         no limit.
@@ -290,15 +291,15 @@
         """See Chooser."""
         if self.allowed_ms is None:
             return None
-        return attempt.heard_ms + self.allowed_ms
+        return attempt.last_event_ms + self.allowed_ms
 
     def note_end(self, job, placement):
         """See Chooser."""
         self.freed.append(placement)
 
 
-class ForwardWorld:
-    """A ForwardDesk whose ports are fakes.
+class ForwardHarness:
+    """A Forwarder whose ports are fakes.
 
     Attributes:
       timers: ManualTimers.
@@ -307,7 +308,7 @@
       reservation_desk: The ReservationDesk that uses these reservations.
       chooser: A FirstChooser.
       crashes: The CrashHistory.
-      desk: The ForwardDesk.
+      desk: The Forwarder.
       journal: A FakeJournal.
       moved: The Backends reported as no longer at their addresses, a list.
     """
@@ -337,7 +338,7 @@
             self.journal,
             'instance-boot',
         )
-        ports = ForwardPorts(
+        ports = ForwarderPorts(
             forward=self.port,
             timers=self.timers,
             metrics=metrics,
@@ -346,10 +347,10 @@
             hints=ReturnHints(Random(1)),
             crashes=self.crashes,
             note_moved=self.moved.append,
-            chooser_of={POOL: self.chooser}.get,
+            find_chooser={POOL: self.chooser}.get,
         )
         limits = RetryLimits(ratio=0, slack=slack, window_ms=_RETRY_WINDOW_MS)
-        self.desk = ForwardDesk(ports, limits)
+        self.desk = Forwarder(ports, limits)
 
     def submit(self, **fields):
         """Submit a job.
@@ -456,7 +457,7 @@
         'payload': None,
         'pool': POOL,
         'priority': 1,
-        'repeat': Repeat.AGAIN,
+        'repeat': RetryMode.AGAIN,
         'request_id': 'r1',
         'resume_after': None,
         'size': _DEFAULT_SIZE,
--- a/crankchute/core/forward_flow.py
+++ b/crankchute/core/forward_flow.py
@@ -19,9 +19,9 @@
       job: The ForwardJob.
       attempt: The Attempt in progress, or None.
       attempts: The number of times that the request was sent.
-      delivered: The id of the last event that the caller received, or None.
+      last_event_id: The id of the last event that the caller received, or None.
       ended: Whether the request has ended.
-      passed: The number of forwarded events.
+      forwarded_events: The number of forwarded events.
     """
 
     #: Retry hint in milliseconds for a request that started but did not finish.
@@ -30,47 +30,47 @@
     __slots__ = (
         '_avoided',
         '_cause',
-        '_desk',
+        '_context',
         '_last_answer',
-        '_maybe_ran',
+        '_may_have_run',
         '_sink',
         '_streaming',
         '_timer',
         'attempt',
         'attempts',
-        'delivered',
+        'last_event_id',
         'ended',
         'job',
-        'passed',
+        'forwarded_events',
     )
 
-    def __init__(self, job, desk, sink):
+    def __init__(self, job, context, sink):
         """Create a flow; start() sends the request.
 
         Args:
           job: A ForwardJob.
-          desk: The ForwardDesk, or another AttemptContext.
+          context: The Forwarder, or another AttemptContext.
           sink: An AnswerSink.
         """
-        self._desk = desk
+        self._context = context
         self._sink = sink
         self.attempt = None
         self._avoided = set()
         self._cause = None
         self._last_answer = None
-        self._maybe_ran = False
+        self._may_have_run = False
         self._streaming = False
         self._timer = None
         self.attempts = 0
-        self.delivered = job.resume_after
+        self.last_event_id = job.resume_after
         self.ended = False
         self.job = job
-        self.passed = 0
+        self.forwarded_events = 0
 
     def start(self):
         """Send the request and start its deadline timer."""
         remaining_ms = self.job.remaining_ms(self.now_ms())
-        self._timer = self._desk.after(remaining_ms, self._on_deadline)
+        self._timer = self._context.after(remaining_ms, self._on_deadline)
         self._try_next(None)
 
     def end(self, refusal):
@@ -93,27 +93,27 @@
 
     def now_ms(self):
         """Return the current time on this process's clock."""
-        return self._desk.now_ms()
+        return self._context.now_ms()
 
     def on_event(self, attempt, head, event):
         """Forward an event, unless the caller already received it."""
         if self._expire_if_late():
             return
         if not self._is_new(event):
-            self._desk.note_dropped(self, attempt)
+            self._context.note_dropped(self, attempt)
             return
         if not self._streaming:
             self._streaming = True
             self._sink.on_head(head)
         if event.number is not None:
-            self.delivered = event.number
-        self.passed += 1
+            self.last_event_id = event.number
+        self.forwarded_events += 1
         self._sink.on_event(event)
 
     def on_attempt_sent(self, attempt):
         """Count an attempt that is being sent."""
         self.attempts += 1
-        self._desk.note_attempt(self, attempt, self._cause)
+        self._context.note_attempt(self, attempt, self._cause)
 
     def on_reservation_refused(self, attempt, refused):
         """Choose other servers after helpers refused to reserve memory."""
@@ -124,16 +124,16 @@
     def on_attempt_end(self, attempt, head, body):
         """End with the server's answer, or retry after a 5xx status."""
         self.attempt = None
-        self._desk.note_attempt_end(self, attempt, str(head.status))
-        self._desk.crash_watch.note_answered(self.job.fingerprint)
+        self._context.note_attempt_end(self, attempt, str(head.status))
+        self._context.crash_watch.note_answered(self.job.fingerprint)
         if self.job.is_stream and head.is_success:
             if not self._expire_if_late():
                 self._finish_stream(head)
             return
         is_server_error = head.status >= FIRST_SERVER_ERROR
-        may_repeat = is_server_error and self.job.may_repeat
-        if may_repeat and self._may_retry(attempt.backend):
-            self._maybe_ran = True
+        may_retry = is_server_error and self.job.may_retry
+        if may_retry and self._may_retry(attempt.backend):
+            self._may_have_run = True
             self._last_answer = (head, body)
             self._try_next(head.status)
         elif self._streaming:
@@ -146,8 +146,8 @@
     def on_attempt_not_run(self, attempt, rejection):
         """Retry at another server after a rejection."""
         self.attempt = None
-        self._desk.note_attempt_end(self, attempt, rejection.code)
-        self._desk.note_rejection(self, attempt, rejection)
+        self._context.note_attempt_end(self, attempt, rejection.code)
+        self._context.note_rejection(self, attempt, rejection)
         rejecting = attempt.placement.find_rejecting_server(rejection.at_server)
         if self._may_retry(rejecting):
             self._try_next(rejection.code)
@@ -165,10 +165,10 @@
         def retry_or_fail():
             if self.ended:
                 return
-            watch = self._desk.crash_watch
+            watch = self._context.crash_watch
             is_safe = watch.may_retry(self.job.fingerprint)
-            may_repeat = self.job.may_repeat and is_safe
-            if may_repeat and self._may_retry(attempt.backend):
+            may_retry = self.job.may_retry and is_safe
+            if may_retry and self._may_retry(attempt.backend):
                 self._try_next('failed')
             else:
                 self._fail('backend_failed', str(exc))
@@ -181,7 +181,7 @@
         The answer decides whether the request may be sent again.
         """
         if exc.connection_lost:
-            self._desk.crash_watch.note_connection_lost(
+            self._context.crash_watch.note_connection_lost(
                 attempt,
                 self.job.fingerprint,
                 callback,
@@ -191,9 +191,9 @@
 
     def _note_failed(self, attempt, exc):
         self.attempt = None
-        self._desk.note_attempt_end(self, attempt, str(exc))
+        self._context.note_attempt_end(self, attempt, str(exc))
         self._avoided.add(attempt.backend.identity)
-        self._maybe_ran = self._maybe_ran or exc.sent
+        self._may_have_run = self._may_have_run or exc.sent
 
     def _try_next(self, cause):
         if self._expire_if_late():
@@ -206,10 +206,10 @@
                 self._fail(choice.code, choice.text, choice.retry_after_ms)
                 return
             self._cause = cause
-            self.attempt = Attempt(self, self._desk, choice)
+            self.attempt = Attempt(self, self._context, choice)
             self.attempt.start()
 
-        place_request(self._desk, self, self._avoided, start_attempt)
+        place_request(self._context, self, self._avoided, start_attempt)
 
     def _finish_stream(self, head):
         if not self._streaming:
@@ -220,12 +220,12 @@
     def _may_retry(self, backend):
         self._avoided.add(backend.identity)
         has_attempts = self.attempts < self.job.max_attempts
-        return has_attempts and self._desk.take_retry(self.job)
+        return has_attempts and self._context.take_retry(self.job)
 
     def _is_new(self, event):
-        if event.number is None or self.delivered is None:
+        if event.number is None or self.last_event_id is None:
             return True
-        return event.number > self.delivered
+        return event.number > self.last_event_id
 
     def _expire_if_late(self):
         if not self.ended and self.job.remaining_ms(self.now_ms()) < 0:
@@ -236,7 +236,7 @@
         if self.ended:
             return
         if self._cancel_attempt():
-            self._maybe_ran = True
+            self._may_have_run = True
         self._last_answer = None
         self._fail('deadline_exceeded', 'the deadline has passed')
 
@@ -246,7 +246,7 @@
         self.attempt = None
         if attempt is None or not attempt.cancel():
             return False
-        self._desk.note_attempt_end(self, attempt, 'cancelled')
+        self._context.note_attempt_end(self, attempt, 'cancelled')
         return True
 
     def _fail(self, code, text, retry_after_ms=None):
@@ -260,11 +260,11 @@
             self._end(Outcome.FAILED, str(head.status))
             return
         if retry_after_ms is None:
-            retry_after_ms = self._desk.choose_retry_after_ms(self.job)
-        if self._maybe_ran:
-            may_repeat = self.job.may_repeat
+            retry_after_ms = self._context.choose_retry_after_ms(self.job)
+        if self._may_have_run:
+            may_retry = self.job.may_retry
             refusal = Refusal(
-                Outcome.FAILED if may_repeat else Outcome.UNKNOWN,
+                Outcome.FAILED if may_retry else Outcome.UNKNOWN,
                 code,
                 text,
                 retry_after_ms=self.unfinished_retry_after_ms,
@@ -288,4 +288,4 @@
         self.ended = True
         if self._timer is not None:
             self._timer.cancel()
-        self._desk.note_end(self, outcome, code)
+        self._context.note_end(self, outcome, code)
--- a/crankchute/core/forward_job.py
+++ b/crankchute/core/forward_job.py
@@ -5,7 +5,7 @@
 _DEFAULT_PRIORITY = 5
 
 
-class Repeat(enum.Enum):
+class RetryMode(enum.Enum):
     """How a request may be retried after it may have started at a server."""
 
     #: It must not be started again.
@@ -32,7 +32,7 @@
         self.answer = answer
 
     @property
-    def memory(self):
+    def kv_tokens(self):
         """The tokens of KV memory needed when the answer is complete."""
         return self.prompt + self.answer
 
@@ -45,7 +45,7 @@
       fingerprint: An int hash of client account, path and body, equal for all
         submissions of the same request.
       pool: The name of the pool of backend servers that serves the request.
-      repeat: A Repeat.
+      repeat: A RetryMode.
       is_stream: Whether the answer is a stream of events.
       is_keyed: Whether the request was authorized by a revocable key.
       account: The client account's name, or None.
@@ -90,9 +90,9 @@
             setattr(self, name, fields[name])
 
     @property
-    def may_repeat(self):
+    def may_retry(self):
         """Whether the request may be retried after it may have started."""
-        return self.repeat != Repeat.ONCE
+        return self.repeat != RetryMode.ONCE
 
     def remaining_ms(self, now_ms):
         """Return the milliseconds until the deadline.
@@ -121,7 +121,7 @@
         self.resume_after = resume_after
 
 
-class Helper:
+class PrefillHelper:
     """A server that prefills part of a prompt for another server.
 
     Attributes:
@@ -139,7 +139,7 @@
         self.tokens = tokens
 
 
-class Beliefs:
+class PlacementEstimate:
     """The estimated state of a server at the time when it was chosen.
 
     The attribute names are also the names under which the estimates are logged.
@@ -190,16 +190,16 @@
 
     Attributes:
       backend: The Backend that receives the request.
-      helpers: A tuple of Helper.
+      helpers: A tuple of PrefillHelper.
       first_ms: The predicted milliseconds to the first event, or None.
       key: The chooser's identifier of this placement; opaque to others.
       priority: The priority at the engine, from 0 (highest) to 9.
-      beliefs: The Beliefs on which the choice was based, or None.
+      estimate: The PlacementEstimate on which the choice was based, or None.
     """
 
     __slots__ = (
         'backend',
-        'beliefs',
+        'estimate',
         'first_ms',
         'helpers',
         'key',
@@ -213,7 +213,7 @@
         self.helpers = helpers
         self.key = key
         self.priority = _DEFAULT_PRIORITY
-        self.beliefs = None
+        self.estimate = None
 
     def find_rejecting_server(self, at_server):
         """Return the server that rejected the request.
@@ -244,5 +244,5 @@
 
     @property
     def tickets(self):
-        """The list of the Helpers that have a memory reservation."""
+        """The list of the PrefillHelpers that have a memory reservation."""
         return [one for one in self.helpers if one.ticket is not None]
--- a/crankchute/core/group_flow.py
+++ b/crankchute/core/group_flow.py
@@ -72,15 +72,15 @@
 class GroupFlow(SingleFlow):
     """Serves a job on a group of engines."""
 
-    def __init__(self, job, desk, sink):
+    def __init__(self, job, context, sink):
         """Create the flow; run() starts it.
 
         Args:
           job: The Job.
-          desk: The Dispatcher's FlowDesk.
+          context: The Dispatcher's CompletionContext.
           sink: A RequestSink.
         """
-        super().__init__(job, desk, sink)
+        super().__init__(job, context, sink)
         self._group_number = 0
         self._members = []
         self._call = None
@@ -91,9 +91,9 @@
         Returns:
           False if too few engines have enough free memory.
         """
-        if self._ends_if_held():
+        if self._end_if_quarantined():
             return True
-        chosen = self._desk.choose_group(self.job, self._avoided)
+        chosen = self._context.choose_group(self.job, self._avoided)
         if chosen is None:
             return False
         segments = split_prompt(self.job.prompt, len(chosen))
@@ -109,8 +109,8 @@
     def on_attempt_not_run(self, attempt, rejection):
         """Replace a lost member, or restart if no member is lost."""
         self.attempt = None
-        self._desk.note_attempt_end(self, attempt, rejection.code)
-        self._desk.metrics.count('engine_refusals', rejection.code)
+        self._context.note_attempt_end(self, attempt, rejection.code)
+        self._context.metrics.count('engine_refusals', rejection.code)
         lost = [member for member in self._members if self._is_lost(member)]
         if lost:
             self._replace(lost[0])
@@ -121,12 +121,12 @@
     def _group(self):
         return f'{self.job.request_id}-{self._group_number}'
 
-    def _go_on_elsewhere(self):
+    def _retry_elsewhere(self):
         """Replace the last engine after a failure and resume there."""
         self._replace(self._members[-1])
 
     def _is_lost(self, member):
-        return not self._desk.is_usable(member.backend, self.job)
+        return not self._context.is_usable(member.backend, self.job)
 
     def _change_serving_long(self, change):
         for member in self._members:
@@ -142,13 +142,13 @@
 
     def _reserve(self, member, on_held):
         # A member that holds memory may have started to prefill.
-        self._maybe_ran = True
+        self._may_have_run = True
         group_number = self._group_number
         group = self._group
         remaining_ms = self.job.remaining_ms(self.now_ms())
         order = HoldOrder(
             group,
-            self._desk.count_tokens(self.job, member.segment),
+            self._context.count_tokens(self.job, member.segment),
             remaining_ms + _DEADLINE_SLACK_MS,
         )
 
@@ -161,7 +161,7 @@
             else:
                 self._restart(member.backend)
 
-        self._desk.engines.hold(member.backend, order, on_done)
+        self._context.engines.hold(member.backend, order, on_done)
 
     def _prefill_next(self):
         for member in self._members[:-1]:
@@ -192,7 +192,7 @@
                 member.export = export
                 self._prefill_next()
 
-        self._call = self._desk.engines.prefill(
+        self._call = self._context.engines.prefill(
             member.backend,
             order,
             on_done,
@@ -203,7 +203,7 @@
         exports = [member.export for member in self._members[:-1]]
         placement = Placement(
             last.backend,
-            first_ms=self._desk.predict_ms(last.backend, self.job),
+            first_ms=self._context.predict_ms(last.backend, self.job),
             key=GroupShare(last.segment, self._group, exports),
         )
         self._launch(placement)
@@ -214,7 +214,9 @@
         self._release(member.backend, self._group)
         member.backend.long_prompt_count -= 1
         member_ids = {other.backend.identity for other in self._members}
-        spare = self._desk.choose_spare(self.job, member_ids | self._avoided)
+        spare = self._context.choose_replacement(
+            self.job, member_ids | self._avoided
+        )
         if spare is None:
             member.backend.long_prompt_count += 1
             self._restart(member.backend)
@@ -223,16 +225,16 @@
         member.backend.long_prompt_count += 1
         member.is_held = False
         member.export = None
-        self._desk.metrics.count('group_replacements')
+        self._context.metrics.count('group_replacements')
         self._reserve(member, self._prefill_next)
 
     def _restart(self, backend):
         """Release the group and queue the job again after a random delay."""
-        self._desk.leave_alone(backend, _BACKOFF_MS)
+        self._context.pause_backend(backend, _BACKOFF_MS)
         self._release_all()
         self._group_number += 1
-        self._desk.metrics.count('group_restarts')
-        self._desk.requeue(self)
+        self._context.metrics.count('group_restarts')
+        self._context.requeue(self)
 
     def _end(self, outcome, code):
         """Release the memory of the group however the request ends."""
@@ -244,7 +246,7 @@
 
     def _release(self, backend, group):
         until_ms = self.job.deadline_ms + _DEADLINE_SLACK_MS
-        release_hold(self._desk, backend, group, until_ms)
+        release_hold(self._context, backend, group, until_ms)
 
     def _release_all(self):
         members = self._members
--- a/crankchute/core/group_flow_test.py
+++ b/crankchute/core/group_flow_test.py
@@ -5,7 +5,7 @@
 import pytest
 
 from crankchute.core.config_check import load_config
-from crankchute.core.dispatcher import Dispatcher, Ports
+from crankchute.core.dispatcher import Dispatcher, DispatcherPorts
 from crankchute.core.fakes import (
     FakeEngines,
     ManualTimers,
@@ -40,7 +40,7 @@
         fleet.replace([make_listed(f'engine-{number}') for number in range(3)])
         for backend in fleet:
             fleet.note_load(backend, make_load(0))
-        ports = Ports(
+        ports = DispatcherPorts(
             engines=self.engines,
             timers=self.timers,
             random=random.Random(1),
--- a/crankchute/core/hold_release.py
+++ b/crankchute/core/hold_release.py
@@ -6,32 +6,32 @@
 _MAX_RETRY_MS = 4800
 
 
-def release_hold(desk, backend, group, until_ms):
+def release_hold(context, backend, group, until_ms):
     """Release the memory of a group on one engine.
 
     Without retries, a lost order would leave the memory occupied until the
     deadline of the request, possibly for minutes.
 
     Args:
-      desk: A FlowDesk.
+      context: A CompletionContext.
       backend: The Backend.
       group: The group's id.
       until_ms: When the engine frees the memory by itself, on this process's
         clock; no retry is sent after that.
     """
-    _send_release(desk, backend, group, until_ms, _FIRST_RETRY_MS)
+    _send_release(context, backend, group, until_ms, _FIRST_RETRY_MS)
 
 
-def _send_release(desk, backend, group, until_ms, retry_ms):
+def _send_release(context, backend, group, until_ms, retry_ms):
     def send_retry():
-        if desk.now_ms() < until_ms:
-            desk.metrics.count('orders_unanswered', 'release')
+        if context.now_ms() < until_ms:
+            context.metrics.count('orders_unanswered', 'release')
             next_retry_ms = min(retry_ms * 2, _MAX_RETRY_MS)
-            _send_release(desk, backend, group, until_ms, next_retry_ms)
+            _send_release(context, backend, group, until_ms, next_retry_ms)
 
     def on_done(is_answered):
         if is_answered:
             retry.cancel()
 
-    retry = desk.timers.after(retry_ms, send_retry)
-    desk.engines.release(backend, group, on_done)
+    retry = context.timers.after(retry_ms, send_retry)
+    context.engines.release(backend, group, on_done)
--- a/crankchute/core/job.py
+++ b/crankchute/core/job.py
@@ -56,7 +56,7 @@
     #: Every completion may be resumed on another engine after the last token
     #: that its caller received, within the retry budget.
     is_stream = True
-    may_repeat = True
+    may_retry = True
     resume_after = 0
 
     @property
--- a/crankchute/core/lease.py
+++ b/crankchute/core/lease.py
@@ -41,7 +41,7 @@
     """Memory at one engine for one attempt.
 
     Attributes:
-      helper: The Helper with its ticket.
+      helper: The PrefillHelper with its ticket.
     """
 
     __slots__ = (
@@ -65,7 +65,7 @@
         Args:
           desk: The ReservationDesk.
           request_id: The id of the request, for logs.
-          helper: A Helper with a ticket.
+          helper: A PrefillHelper with a ticket.
         """
         self._desk = desk
         self._request_id = request_id
--- a/crankchute/core/lease_machine_test.py
+++ b/crankchute/core/lease_machine_test.py
@@ -18,7 +18,7 @@
     FakeJournal,
     make_backends,
 )
-from crankchute.core.forward_job import Helper
+from crankchute.core.forward_job import PrefillHelper
 from crankchute.core.reservations import ReservationDesk
 from crankchute.ports.metrics import Metrics
 
@@ -91,7 +91,7 @@
     def reserve(self):
         """Reserve memory for a new request."""
         helpers = [
-            Helper(backend, self.desk.new_ticket(), 100)
+            PrefillHelper(backend, self.desk.new_ticket(), 100)
             for backend in self.backends
         ]
         self.requests.append(RequestModel(self.desk, helpers))
--- a/crankchute/core/once_machine_test.py
+++ b/crankchute/core/once_machine_test.py
@@ -16,7 +16,7 @@
 )
 
 from crankchute.core.config_check import load_config
-from crankchute.core.dispatcher import Ports
+from crankchute.core.dispatcher import DispatcherPorts
 from crankchute.core.fakes import ManualTimers, make_documents, make_listed
 from crankchute.core.fleet import Fleet
 from crankchute.core.forward_fakes import FakeJournal
@@ -69,7 +69,7 @@
         fleet = Fleet()
         names = ('service-0', 'service-1')
         fleet.replace([make_listed(name, 'service') for name in names])
-        ports = Ports(
+        ports = DispatcherPorts(
             engines=None,
             timers=self.timers,
             random=random.Random(1),
--- a/crankchute/core/placing_test.py
+++ b/crankchute/core/placing_test.py
@@ -173,7 +173,7 @@
     queue.add(_QueuedFlow(5, 'urgent', priority=1), 1)
     order = []
     while queue:
-        flow = queue.first()
+        flow = queue.peek()
         queue.discard(flow)
         order.append(flow.job.account)
     assert order[0] == 'urgent'
--- a/crankchute/core/request_placing.py
+++ b/crankchute/core/request_placing.py
@@ -7,26 +7,26 @@
 from crankchute.core.forward_job import Placement
 
 
-def place_request(desk, flow, avoided, on_choice):
+def place_request(context, flow, avoided, on_choice):
     """Choose the server of a request's next attempt.
 
     If this instance has no turn at any server, it tries to borrow one from
     another instance, since a low rate limit is divided among few instances.
 
     Args:
-      desk: The ForwardDesk.
+      context: The Forwarder.
       flow: The ForwardFlow.
       avoided: Ids of servers to exclude.
       on_choice: A function of a Placement or a Refusal.  Called immediately,
         or after other instances have answered, when the flow may have ended.
     """
-    choice = desk.choose(flow, avoided)
+    choice = context.choose(flow, avoided)
     # A turn does not help against refusals for other reasons, such as a
     # request that crashes servers.
     if isinstance(choice, Placement) or choice.code != PAUSED_OR_LIMITED:
         on_choice(choice)
         return
-    chooser = desk.chooser_of(flow.job.pool)
+    chooser = context.find_chooser(flow.job.pool)
 
     def on_turn(server):
         placement = None
@@ -36,8 +36,8 @@
             chooser.note_sent(flow.job, placement)
             on_choice(placement)
         else:
-            desk.lending.give_back(server)
+            context.lending.give_back(server)
             on_choice(choice)
 
-    if not desk.lending.borrow(chooser.list_without_turn(avoided), on_turn):
+    if not context.lending.borrow(chooser.list_without_turn(avoided), on_turn):
         on_choice(choice)
--- a/crankchute/core/request_placing_test.py
+++ b/crankchute/core/request_placing_test.py
@@ -28,7 +28,7 @@
     def choose(self, _flow, _avoided):
         return self.choice
 
-    def chooser_of(self, _pool):
+    def find_chooser(self, _pool):
         return self
 
     def list_without_turn(self, _avoided):
--- a/crankchute/core/reservations.py
+++ b/crankchute/core/reservations.py
@@ -28,7 +28,7 @@
         """Reserve memory, or extend a reservation.
 
         Args:
-          helper: A Helper with a ticket.
+          helper: A PrefillHelper with a ticket.
           hold_ms: How long the engine keeps the memory after the order has
             arrived, in milliseconds.
           on_done: A function of True (reserved), False (refused) or None (no
@@ -40,7 +40,7 @@
         """Release reserved memory.
 
         Args:
-          helper: A Helper with a ticket.
+          helper: A PrefillHelper with a ticket.
           patience_ms: Timeout of the order and its answer, in milliseconds.
           on_done: A function of a bool, whether the engine answered.
         """
@@ -74,9 +74,9 @@
         Args:
           desk: The ReservationDesk.
           request_id: The id of the request, for logs.
-          helpers: Helpers with tickets.
-          on_done: A function of a list of the Helpers whose engines reserved
-            no memory; the list is empty if all did.
+          helpers: PrefillHelpers with tickets.
+          on_done: A function of a list of the PrefillHelpers whose engines
+            reserved no memory; the list is empty if all did.
         """
         self._desk = desk
         self._request_id = request_id
@@ -209,7 +209,7 @@
 
         Args:
           request_id: The id of the request, for logs.
-          helpers: Helpers with tickets.
+          helpers: PrefillHelpers with tickets.
           on_done: See Reservation.
         Returns:
           A Reservation.
--- a/crankchute/core/reservations_test.py
+++ b/crankchute/core/reservations_test.py
@@ -10,9 +10,9 @@
 from crankchute.core.forward_fakes import (
     DelayedReservations,
     FakeJournal,
-    ForwardWorld,
+    ForwardHarness,
 )
-from crankchute.core.forward_job import Helper, Repeat
+from crankchute.core.forward_job import PrefillHelper, RetryMode
 from crankchute.core.lease import RELEASE, RESERVE
 from crankchute.core.reservations import ReservationDesk
 from crankchute.ports.metrics import Metrics
@@ -29,11 +29,11 @@
     """A reservation at one engine that has not answered yet."""
 
     def __init__(self):
-        self.world = ForwardWorld()
-        self.port = self.world.reservations
+        self.harness = ForwardHarness()
+        self.port = self.harness.reservations
         self.refusals = []
-        self.helper = Helper(self.world.backends[1], 'ticket-1', 100)
-        self.reservation = self.world.reservation_desk.reserve(
+        self.helper = PrefillHelper(self.harness.backends[1], 'ticket-1', 100)
+        self.reservation = self.harness.reservation_desk.reserve(
             'r1',
             [self.helper],
             self.refusals.append,
@@ -50,9 +50,9 @@
 )
 def test_first_answer_is_logged(is_done, entry):
     pending = PendingReservation()
-    pending.world.timers.advance(40)
+    pending.harness.timers.advance(40)
     pending.port.answer(is_done)
-    assert pending.world.journal.memory_events[0] == entry
+    assert pending.harness.journal.memory_events[0] == entry
 
 
 @pytest.mark.parametrize(
@@ -72,8 +72,8 @@
     for is_done in answers:
         sent_count += len(pending.port.asked)
         pending.port.answer(is_done)
-        pending.world.timers.advance(60)
-    pending.world.timers.advance(250)
+        pending.harness.timers.advance(60)
+    pending.harness.timers.advance(250)
     sent_count += len(pending.port.asked)
     assert sent_count == order_count
     tickets = [
@@ -85,10 +85,10 @@
 def test_unanswered_renewal_is_logged():
     pending = PendingReservation()
     pending.port.answer(is_done=True)
-    pending.world.timers.advance(1300)
+    pending.harness.timers.advance(1300)
     pending.port.answer(None)
     entry = ('unanswered', RESERVE, 'ticket-1')
-    assert pending.world.journal.memory_events[-1] == entry
+    assert pending.harness.journal.memory_events[-1] == entry
 
 
 def test_release_is_logged_with_its_attempts():
@@ -97,8 +97,8 @@
     pending.port.answers_release = False
     pending.reservation.release()
     pending.port.answers_release = True
-    pending.world.timers.advance(400)
-    assert pending.world.journal.memory_events[-2:] == [
+    pending.harness.timers.advance(400)
+    assert pending.harness.journal.memory_events[-2:] == [
         ('unanswered', RELEASE, 'ticket-1'),
         ('released', 'ticket-1', 2),
     ]
@@ -117,10 +117,10 @@
             FakeJournal(),
             'instance-boot',
         )
-        backend = ForwardWorld().backends[1]
+        backend = ForwardHarness().backends[1]
         self.reservation = desk.reserve(
             'r1',
-            [Helper(backend, 'ticket-1', 100)],
+            [PrefillHelper(backend, 'ticket-1', 100)],
             lambda refused: None,
         )
         self.timers.advance(1)
@@ -154,16 +154,18 @@
     assert not held.is_held()
 
 
-@pytest.mark.parametrize('repeat', [Repeat.RESUME, Repeat.ONCE])
+@pytest.mark.parametrize('repeat', [RetryMode.RESUME, RetryMode.ONCE])
 def test_unused_memory_is_released(repeat):
     """An engine that hangs must not keep memory reserved at other engines."""
-    world = ForwardWorld()
-    world.chooser.helpers = (Helper(world.backends[1], 'ticket-1', 100),)
-    world.submit(repeat=repeat, is_stream=True, deadline_ms=15_000)
-    world.reservations.answer(is_done=True)
-    world.chooser.helpers = ()
-    world.timers.advance(MAX_UNUSED_MS - 500)
-    assert 'ticket-1' in world.reservations.released
+    harness = ForwardHarness()
+    harness.chooser.helpers = (
+        PrefillHelper(harness.backends[1], 'ticket-1', 100),
+    )
+    harness.submit(repeat=repeat, is_stream=True, deadline_ms=15_000)
+    harness.reservations.answer(is_done=True)
+    harness.chooser.helpers = ()
+    harness.timers.advance(MAX_UNUSED_MS - 500)
+    assert 'ticket-1' in harness.reservations.released
 
 
 @pytest.mark.parametrize(
--- a/crankchute/core/route_table.py
+++ b/crankchute/core/route_table.py
@@ -2,7 +2,7 @@
 
 import xxhash
 
-from crankchute.core.forward_job import Repeat
+from crankchute.core.forward_job import RetryMode
 
 _SEPARATOR = '/'
 _DIGEST_BITS = 64  # noqa: WPS432
@@ -34,7 +34,7 @@
       host: The host, in lower case.
       prefix: The path prefix; begins and ends with a slash.
       shares: A tuple of PoolShare.
-      repeat: A Repeat.
+      repeat: A RetryMode.
       is_stream: Whether answers are event streams, a bool.
       is_open: Whether requests need no API key, a bool.
       timeout_ms: The maximum duration of a request, in milliseconds.
@@ -69,9 +69,9 @@
             setattr(self, name, fields[name])
 
     @property
-    def may_repeat(self):
+    def may_retry(self):
         """Whether its requests may be retried after they started, a bool."""
-        return self.repeat != Repeat.ONCE
+        return self.repeat != RetryMode.ONCE
 
     def choose_pool(self, request_id):
         """Choose the pool of a request by weight.
--- a/crankchute/core/route_table_test.py
+++ b/crankchute/core/route_table_test.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from crankchute.core.forward_job import Repeat
+from crankchute.core.forward_job import RetryMode
 from crankchute.core.route_table import PoolShare, Route, RouteTable
 
 
@@ -14,7 +14,7 @@
         host=host,
         prefix=prefix,
         shares=tuple(PoolShare(*share) for share in shares),
-        repeat=Repeat.ONCE,
+        repeat=RetryMode.ONCE,
         is_stream=False,
         is_open=False,
         timeout_ms=1000,
--- a/crankchute/core/service_flow.py
+++ b/crankchute/core/service_flow.py
@@ -7,8 +7,8 @@
 
 from crankchute.core.candidates import list_members
 from crankchute.core.choosers import LEAST_BUSY, ChooserParts, choosers
-from crankchute.core.forward_desk import ForwardDesk, ForwardPorts
-from crankchute.core.forward_job import ForwardJob, Repeat
+from crankchute.core.forward_desk import Forwarder, ForwarderPorts
+from crankchute.core.forward_job import ForwardJob, RetryMode
 from crankchute.core.hashing import make_fingerprint
 from crankchute.core.limit_desk import LimitDesk
 from crankchute.core.return_hints import ReturnHints
@@ -122,7 +122,7 @@
         """Create a router without a configuration.
 
         Args:
-          ports: The Ports of the dispatcher; `engines` is not used.
+          ports: The DispatcherPorts of the dispatcher; `engines` is not used.
           fleet: The Fleet.
           services: A ForwardPort for jobs whose payload is a ServiceCall.
           journal: A ForwardJournal.
@@ -134,8 +134,8 @@
         self._turns = LimitDesk(ports.timers, '', '').turns
         self._choosers = {}
         self._hints = ReturnHints(ports.random)
-        self._desk = ForwardDesk(
-            ForwardPorts(
+        self._desk = Forwarder(
+            ForwarderPorts(
                 forward=services,
                 timers=ports.timers,
                 metrics=ports.metrics,
@@ -144,7 +144,7 @@
                 hints=self._hints,
                 crashes=ports.crashes,
                 note_moved=_ignore_moved,
-                chooser_of=self._chooser_of,
+                find_chooser=self._find_chooser,
             ),
             _RETRY_LIMITS,
             ended_counter='service_calls_ended',
@@ -168,7 +168,7 @@
             request_id=call.key,
             fingerprint=_make_fingerprint(call),
             pool=call.pool,
-            repeat=Repeat.AGAIN if call.repeatable else Repeat.ONCE,
+            repeat=RetryMode.AGAIN if call.repeatable else RetryMode.ONCE,
             is_stream=False,
             is_keyed=False,
             account=call.account,
@@ -184,7 +184,7 @@
         )
         self._desk.submit(job, ServiceSink(on_end))
 
-    def _chooser_of(self, pool):
+    def _find_chooser(self, pool):
         """Return a pool's chooser, which has no servers if it is unknown."""
         chooser = self._choosers.get(pool)
         if chooser is None:
--- a/crankchute/core/single_flow.py
+++ b/crankchute/core/single_flow.py
@@ -166,15 +166,15 @@
 
     unfinished_retry_after_ms = 200
 
-    def __init__(self, job, desk, sink):
+    def __init__(self, job, context, sink):
         """Create a flow; start() queues it and run() sends it.
 
         Args:
           job: The Job.
-          desk: The Dispatcher's FlowDesk.
+          context: The Dispatcher's CompletionContext.
           sink: A RequestSink.
         """
-        super().__init__(job, desk, CompletionSink(sink))
+        super().__init__(job, context, CompletionSink(sink))
         self.first_ms = None
 
     def run(self):
@@ -183,9 +183,9 @@
         Returns:
           False if the flow must wait.
         """
-        if self._ends_if_held():
+        if self._end_if_quarantined():
             return True
-        placement = self._desk.choose(self.job, self._avoided)
+        placement = self._context.choose(self.job, self._avoided)
         if placement is None:
             return False
         self._launch(placement)
@@ -196,49 +196,49 @@
         if self.first_ms is None:
             return 0
         elapsed_ms = self.now_ms() - self.first_ms
-        return elapsed_ms / max(self.delivered - 1, 1)
+        return elapsed_ms / max(self.last_event_id - 1, 1)
 
     def on_attempt_not_run(self, attempt, rejection):
         """Queue the request again after a refusal by an engine."""
         self.attempt = None
-        self._desk.note_attempt_end(self, attempt, rejection.code)
-        self._desk.note_rejection(self, attempt, rejection)
-        self._desk.requeue(self)
+        self._context.note_attempt_end(self, attempt, rejection.code)
+        self._context.note_rejection(self, attempt, rejection)
+        self._context.requeue(self)
 
     def on_attempt_failed(self, attempt, exc):
         """Retry on another engine if the retry budget allows, or end."""
         self._note_failed(attempt, exc)
 
         def retry_or_fail():
-            if self.ended or self._ends_if_held():
+            if self.ended or self._end_if_quarantined():
                 return
-            if self._desk.take_retry(self.job):
-                self._go_on_elsewhere()
+            if self._context.take_retry(self.job):
+                self._retry_elsewhere()
             else:
                 self._fail(_ENGINE_FAILED, str(exc))
 
         self._after_failure(attempt, exc, retry_or_fail)
 
-    def _go_on_elsewhere(self):
+    def _retry_elsewhere(self):
         """Retry the request after a failure."""
         self._try_next(_ENGINE_FAILED)
 
-    def _ends_if_held(self):
+    def _end_if_quarantined(self):
         """End a request that is blocked for crashing engines.
 
         Returns:
           Whether the request was ended.
         """
-        refusal = self._desk.crash_watch.find_refusal(self.job.fingerprint)
+        refusal = self._context.crash_watch.find_refusal(self.job.fingerprint)
         if refusal is None:
             return False
         self._fail(refusal.code, refusal.text, refusal.retry_after_ms)
         return True
 
     def _launch(self, placement):
-        self.attempt = Attempt(self, self._desk, placement)
+        self.attempt = Attempt(self, self._context, placement)
         self.attempt.start()
 
     def _try_next(self, cause):
         """Queue the request; the dispatcher calls run()."""
-        self._desk.enqueue(self)
+        self._context.enqueue(self)
--- a/crankchute/core/suspicion_test.py
+++ b/crankchute/core/suspicion_test.py
@@ -6,7 +6,7 @@
 from crankchute.core.engine_chooser import EngineChooser
 from crankchute.core.fakes import ManualTimers
 from crankchute.core.forward_fakes import (
-    ForwardWorld,
+    ForwardHarness,
     make_backends,
     make_job,
     make_parts,
@@ -104,9 +104,9 @@
     ],
 )
 def test_outcomes_of_attempts_are_counted(end, failures):
-    world = ForwardWorld()
-    world.submit()
-    call = world.port.calls[0]
+    harness = ForwardHarness()
+    harness.submit()
+    call = harness.port.calls[0]
     end(call.listener)
     signs = call.placement.backend.suspicion.local_counts(0)
     assert round(signs.failures, 1) == failures
--- a/crankchute/entry/forward_node.py
+++ b/crankchute/entry/forward_node.py
@@ -19,7 +19,7 @@
 from crankchute.core.engine_board import EngineWorkTracker
 from crankchute.core.engine_chooser import PREDICTED
 from crankchute.core.forward_config import ForwardConfigHolder
-from crankchute.core.forward_desk import ForwardDesk, ForwardPorts
+from crankchute.core.forward_desk import Forwarder, ForwarderPorts
 from crankchute.core.forward_fleet import ForwardFleet
 from crankchute.core.load_survey import InitialLoadPoll
 from crankchute.core.reservations import ReservationDesk
@@ -163,7 +163,7 @@
             f'{identity.instance}-{identity.boot}',
         )
         self._reservations.change_limits(limits.unused_ms)
-        ports = ForwardPorts(
+        ports = ForwarderPorts(
             forward=wiring.port,
             timers=self.timers,
             metrics=self.metrics,
@@ -172,9 +172,9 @@
             hints=self._hints,
             crashes=self.crashes,
             note_moved=self._on_moved,
-            chooser_of=self._chooser_of,
+            find_chooser=self._find_chooser,
         )
-        self.desk = ForwardDesk(ports, limits.retries)
+        self.desk = Forwarder(ports, limits.retries)
         self._survey = InitialLoadPoll(
             wiring.reports,
             self.random,
@@ -292,7 +292,7 @@
         age_ms = self.holder.proof_age_ms(self.now_ms())
         return float('inf') if age_ms is None else age_ms / _MS_PER_SECOND
 
-    def _chooser_of(self, pool):
+    def _find_chooser(self, pool):
         return self._choosers.get(pool)
 
     def _note_work(self, change, work):
@@ -317,7 +317,7 @@
         reporting = self.fleet.find_reporting(backend, load.born)
         if reporting is None:
             return
-        chooser = self._chooser_of(self.fleet.pool_of(reporting))
+        chooser = self._find_chooser(self.fleet.pool_of(reporting))
         if chooser is not None:
             chooser.note_polled_load(reporting, load)
 
--- a/crankchute/entry/node.py
+++ b/crankchute/entry/node.py
@@ -15,7 +15,7 @@
 from crankchute.adapters.platform_http import PlatformWatch
 from crankchute.adapters.service_http import HttpServices
 from crankchute.core.config_holder import ConfigHolder
-from crankchute.core.dispatcher import Dispatcher, Ports
+from crankchute.core.dispatcher import Dispatcher, DispatcherPorts
 from crankchute.core.fleet import LEAVING, Fleet
 from crankchute.core.keys import Binding
 from crankchute.core.limits import AccountLimits
@@ -131,7 +131,7 @@
 
     def _wire_core(self):
         settings = self.settings
-        ports = Ports(
+        ports = DispatcherPorts(
             engines=HttpEngines(self.http_client),
             timers=self.timers,
             random=self.random,
--- a/crankchute/platform/backend_calls.py
+++ b/crankchute/platform/backend_calls.py
@@ -3,8 +3,8 @@
 from http import HTTPStatus
 
 from crankchute.adapters.http_client import CallOptions, build_request
-from crankchute.core.event_stream import EventCutter
-from crankchute.core.forward_job import Repeat
+from crankchute.core.event_stream import EventSplitter
+from crankchute.core.forward_job import RetryMode
 from crankchute.errors import BackendError
 from crankchute.platform.engine_reports import read_told_load
 from crankchute.platform.server_calls import read_notice
@@ -63,7 +63,7 @@
         """
         self._job = job
         self._listener = listener
-        self._cutter = EventCutter()
+        self._cutter = EventSplitter()
         self._is_stream = False
         self._rejection = None
         self._over = False
@@ -105,7 +105,7 @@
         self._over = True
         if self._rejection:
             self._listener.on_not_run(self._rejection)
-        elif self._cutter.has_rest:
+        elif self._cutter.has_partial_event:
             text = 'the stream ended within an event'
             self._listener.on_failed(
                 BackendError(text, sent=True, connection_lost=True)
@@ -161,7 +161,7 @@
             payload.body,
             headers,
         )
-        may_start_once = job.repeat == Repeat.ONCE
+        may_start_once = job.repeat == RetryMode.ONCE
         idle_ms = _ONCE_IDLE_MS if may_start_once else _REPEATABLE_IDLE_MS
         options = CallOptions(idle_ms=idle_ms, connect_ms=_CONNECT_MS)
         reader = AnswerReader(job, listener)
--- a/crankchute/platform/backend_calls_test.py
+++ b/crankchute/platform/backend_calls_test.py
@@ -13,7 +13,12 @@
 from crankchute.adapters.loop import Loop
 from crankchute.core.fleet import Backend, ListedServer
 from crankchute.core.forward_fakes import make_job
-from crankchute.core.forward_job import AttemptOrder, Helper, Placement, Repeat
+from crankchute.core.forward_job import (
+    AttemptOrder,
+    PrefillHelper,
+    Placement,
+    RetryMode,
+)
 from crankchute.platform.backend_calls import BackendCalls
 from crankchute.platform.requests import RequestPayload
 from crankchute.platform.server_calls import ServerCalls
@@ -175,7 +180,7 @@
 )
 def test_streams_are_told_in_whole_events(payload, told):
     world = World()
-    _call, heard = world.send(is_stream=True, repeat=Repeat.RESUME)
+    _call, heard = world.send(is_stream=True, repeat=RetryMode.RESUME)
     world.receive()
     world.answer(heard, payload)
     assert [word for word, _what in heard.told] == told
@@ -205,7 +210,10 @@
     world.send(
         account='acc',
         resume_after=7,
-        helpers=(Helper(world.backend), Helper(world.backend, 't9', 10)),
+        helpers=(
+            PrefillHelper(world.backend),
+            PrefillHelper(world.backend, 't9', 10),
+        ),
     )
     seen = world.receive().decode()
     head, _blank, body = seen.partition('\r\n\r\n')
--- a/crankchute/platform/documents.py
+++ b/crankchute/platform/documents.py
@@ -9,7 +9,7 @@
     KeyOwner,
     PoolConfig,
 )
-from crankchute.core.forward_job import Repeat
+from crankchute.core.forward_job import RetryMode
 from crankchute.core.route_table import PoolShare, Route
 from crankchute.errors import ConfigError, Finding
 
@@ -86,8 +86,8 @@
     kind = document['kind']
     if kind == _STREAMING:
         may_resume = document.get('stream-resume')
-        return Repeat.RESUME if may_resume else Repeat.ONCE
-    return Repeat.AGAIN if kind == 'idempotent' else Repeat.ONCE
+        return RetryMode.RESUME if may_resume else RetryMode.ONCE
+    return RetryMode.AGAIN if kind == 'idempotent' else RetryMode.ONCE
 
 
 def _read_pool(document, stall_ms):
--- a/crankchute/platform/documents_test.py
+++ b/crankchute/platform/documents_test.py
@@ -5,7 +5,7 @@
 import orjson
 import pytest
 
-from crankchute.core.forward_job import Repeat
+from crankchute.core.forward_job import RetryMode
 from crankchute.errors import ConfigError
 from crankchute.platform.documents import read_config
 
@@ -64,7 +64,7 @@
     config = read_changed()
     route = config.routes.find('a.example', '/p/x')
     assert config.version == 7
-    assert route.repeat == Repeat.RESUME
+    assert route.repeat == RetryMode.RESUME
     assert route.is_stream
     assert (route.goal_ms, route.gap_ms, route.timeout_ms) == (300, 250, 10_000)
     assert config.pools['llm'].figures.read_per_ms == 206
@@ -77,11 +77,11 @@
 @pytest.mark.parametrize(
     ('change', 'repeat', 'is_stream'),
     [
-        ({'kind': 'streaming', 'stream-resume': True}, Repeat.RESUME, True),
-        ({'kind': 'streaming', 'stream-resume': False}, Repeat.ONCE, True),
-        ({'kind': 'idempotent'}, Repeat.AGAIN, False),
-        ({'kind': 'non_idempotent'}, Repeat.ONCE, False),
-        ({'kind': 'never heard of'}, Repeat.ONCE, False),
+        ({'kind': 'streaming', 'stream-resume': True}, RetryMode.RESUME, True),
+        ({'kind': 'streaming', 'stream-resume': False}, RetryMode.ONCE, True),
+        ({'kind': 'idempotent'}, RetryMode.AGAIN, False),
+        ({'kind': 'non_idempotent'}, RetryMode.ONCE, False),
+        ({'kind': 'never heard of'}, RetryMode.ONCE, False),
     ],
 )
 def test_what_may_be_repeated(change, repeat, is_stream):
--- a/crankchute/platform/ending_requests_test.py
+++ b/crankchute/platform/ending_requests_test.py
@@ -17,7 +17,7 @@
 
 import pytest
 
-from crankchute.core.forward_job import Repeat
+from crankchute.core.forward_job import RetryMode
 from crankchute.core.outcomes import Outcome
 from crankchute.platform.standin_world import StandinWorld
 
@@ -55,9 +55,9 @@
 @pytest.mark.parametrize(
     'fields',
     [
-        {'repeat': Repeat.RESUME},
-        {'repeat': Repeat.AGAIN, 'is_stream': False},
-        {'repeat': Repeat.ONCE},
+        {'repeat': RetryMode.RESUME},
+        {'repeat': RetryMode.AGAIN, 'is_stream': False},
+        {'repeat': RetryMode.ONCE},
     ],
 )
 def test_request_that_ended_three_servers_is_held_everywhere(fields):
--- a/crankchute/platform/forwarding_test.py
+++ b/crankchute/platform/forwarding_test.py
@@ -16,7 +16,7 @@
 from crankchute.core.engine_chooser import EngineChooser
 from crankchute.core.fleet import Backend, ListedServer
 from crankchute.core.forward_config import PoolConfig
-from crankchute.core.forward_desk import ForwardDesk, ForwardPorts
+from crankchute.core.forward_desk import Forwarder, ForwarderPorts
 from crankchute.core.forward_fakes import (
     POOL,
     FakeJournal,
@@ -24,7 +24,7 @@
     make_figures,
     make_job,
 )
-from crankchute.core.forward_job import PromptSize, Repeat
+from crankchute.core.forward_job import PromptSize, RetryMode
 from crankchute.core.outcomes import Outcome
 from crankchute.core.reservations import ReservationDesk
 from crankchute.core.limit_desk import LimitDesk
@@ -75,7 +75,7 @@
             'instance-boot',
         )
         chooser = EngineChooser(self._make_parts(reservations))
-        ports = ForwardPorts(
+        ports = ForwarderPorts(
             forward=BackendCalls(client, calls),
             timers=self.loop.timers,
             metrics=Metrics(),
@@ -84,10 +84,10 @@
             hints=ReturnHints(random.Random(1)),
             crashes=CrashHistory(self.loop.timers.clock.now_ms),
             note_moved=self.moved.append,
-            chooser_of=lambda _pool: chooser,
+            find_chooser=lambda _pool: chooser,
         )
         limits = RetryLimits(ratio=0, slack=100, window_ms=10_000)
-        self.desk = ForwardDesk(ports, limits)
+        self.desk = Forwarder(ports, limits)
 
     @property
     def runs(self):
@@ -107,7 +107,7 @@
             arrived_ms=now_ms,
             deadline_ms=now_ms + 60_000,
             payload=RequestPayload('POST', '/p/', headers, b'body'),
-            **{'repeat': Repeat.RESUME, **fields},
+            **{'repeat': RetryMode.RESUME, **fields},
         )
         sink = FakeSink()
         flow = self.desk.submit(job, sink)
@@ -208,7 +208,7 @@
 ):
     world = World(engines=2)
     world.engines[1].next_behaviours.append(behaviour)
-    seen = world.submit(repeat=Repeat.ONCE)
+    seen = world.submit(repeat=RetryMode.ONCE)
     assert len(world.runs) == runs
     if outcome is None:
         assert seen == WHOLE
--- a/crankchute/platform/requests_test.py
+++ b/crankchute/platform/requests_test.py
@@ -13,7 +13,7 @@
     PoolConfig,
 )
 from crankchute.core.forward_fakes import make_figures
-from crankchute.core.forward_job import Repeat
+from crankchute.core.forward_job import RetryMode
 from crankchute.core.return_hints import ReturnHints
 from crankchute.core.route_table import PoolShare, Route
 from crankchute.errors import RequestRefused
@@ -51,7 +51,7 @@
         host='a.example',
         prefix=prefix,
         shares=(PoolShare('pool', 1),),
-        repeat=Repeat.RESUME,
+        repeat=RetryMode.RESUME,
         is_stream=True,
         is_open=is_open,
         timeout_ms=2000,
--- a/crankchute/platform/standin_world.py
+++ b/crankchute/platform/standin_world.py
@@ -18,7 +18,7 @@
     make_figures,
     make_job,
 )
-from crankchute.core.forward_job import PromptSize, Repeat
+from crankchute.core.forward_job import PromptSize, RetryMode
 from crankchute.core.hashing import make_fingerprint
 from crankchute.core.server_notice import ServerNotices
 from crankchute.core.sliding_budget import RetryLimits
@@ -164,11 +164,11 @@
         now_ms = node.now_ms()
         request_id = f'r-{now_ms}'
         headers = [('X-Crankchute-Request-Id', request_id)]
-        kind = {'repeat': Repeat.AGAIN, 'size': None}
+        kind = {'repeat': RetryMode.AGAIN, 'size': None}
         if self._figures is not None:
             headers.append(('X-Crankchute-Token-Usage', '2000,100'))
             kind = {
-                'repeat': Repeat.RESUME,
+                'repeat': RetryMode.RESUME,
                 'is_stream': True,
                 'size': _PROMPT,
             }
