--- a/crankchute/commands/losses.py
+++ b/crankchute/commands/losses.py
@@ -34,7 +34,7 @@
     """Return the table of losses as lines for people.
 
     Args:
-      stories: A list of Story.
+      stories: A list of RequestTrace.
     """
     tokens = sum(story.tokens for story in stories)
     rows = [
@@ -50,7 +50,7 @@
     """Return how first events compare with predictions, lines for people.
 
     Args:
-      stories: A list of Story.
+      stories: A list of RequestTrace.
     """
     heading = 'seen by predicted    count    p10    p50    p90'
     found = compare_predictions(stories)
--- a/crankchute/core/choosers.py
+++ b/crankchute/core/choosers.py
@@ -217,12 +217,12 @@
         if earliest_ms > 0:
             return refuse_not_run(
                 PAUSED_OR_LIMITED,
-                'all backend servers of the pool are pausing or rate limited',
+                'no backend server of the pool wants a request now',
                 self._parts.hints.choose_after_ms(earliest_ms),
             )
         return refuse_not_run(
             'no_backend',
-            'no backend server of the pool is available',
+            'no backend server of the pool takes requests now',
         )
 
     def _list_available(self, members, avoided):
--- a/crankchute/core/prompt_admission.py
+++ b/crankchute/core/prompt_admission.py
@@ -144,6 +144,6 @@
     """
     return refuse_not_run(
         'crowded',
-        'the engines are overloaded; this prompt would delay other requests',
+        'the engines are full; sending this would make others late',
         hints.choose_ms(remaining_ms, remaining_ms),
     )
