--- a/bench/capacity_core.py
+++ b/bench/capacity_core.py
@@ -172,7 +172,7 @@
     limits = AccountLimits(ManualTimers().clock)
     tracemalloc.start()
     for account in config.accounts.values():
-        limits.use_of(account).admit(1000, 0)
+        limits.usage_of(account).admit(1000, 0)
     kept = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     return {
--- a/bench/crash_ways.py
+++ b/bench/crash_ways.py
@@ -23,7 +23,7 @@
 )
 from crankchute.core.forward_job import RetryMode
 from crankchute.core.outcomes import Outcome
-from crankchute.core.return_hints import ReturnHints
+from crankchute.core.return_hints import RetryHints
 from crankchute.errors import BackendError
 from crankchute.ports.forwarding import AnswerHead, ForwardPort
 
@@ -246,7 +246,7 @@
         history.subscribe(partial(self._tell_all, history))
         parts = make_parts(self.timers, lambda: list(self.backends))
         parts.random = self.random
-        hints = ReturnHints(self.random)
+        hints = RetryHints(self.random)
         return make_plain_desk(self.port, parts, hints, history)
 
     def _tell_all(self, teller):
--- a/bench/limit_ways.py
+++ b/bench/limit_ways.py
@@ -16,11 +16,11 @@
 from crankchute.core.fakes import ManualTimers
 from crankchute.core.forward_fakes import make_backends, make_job, make_parts
 from crankchute.core.forward_job import RetryMode
-from crankchute.core.limit_desk import LimitDesk
+from crankchute.core.limit_desk import ServerRateLimits
 from crankchute.core.limit_shares import WINDOW_MS
 from crankchute.core.registry import Registry
-from crankchute.core.return_hints import ReturnHints
-from crankchute.core.turn_lending import TurnBorrower, lend_turn
+from crankchute.core.return_hints import RetryHints
+from crankchute.core.turn_lending import PermitBorrower, lend_permit
 from crankchute.ports.forwarding import AnswerHead, ForwardPort
 
 #: How instances share a limit, by name: functions of an Instance, called when it
@@ -91,7 +91,7 @@
         """Create the shares."""
         self._part = part
 
-    def part_of(self, _server, _limit):
+    def share_of(self, _server, _limit):
         """See LimitShares."""
         return self._part
 
@@ -105,9 +105,9 @@
         self._instance = instance
         self._sent = {}
 
-    def has_turn(self, server):
-        """See LimitTurns."""
-        limit = self._instance.limits.words.limit_of(server)
+    def has_permit(self, server):
+        """See LimitPermits."""
+        limit = self._instance.limits.advertised.limit_of(server)
         if limit is None:
             return True
         since_ms = self._world.now_ms() - WINDOW_MS
@@ -116,11 +116,11 @@
         return len(recent) < max(limit * WINDOW_MS / _MS_PER_SECOND, 1)
 
     def note_sent(self, server):
-        """See LimitTurns; the other active ones hear of it."""
+        """See LimitPermits; the other active ones hear of it."""
         self.hear(server)
         for one in self._world.reached_by(self._instance):
             if one is not self._instance:
-                hear = partial(one.turns.hear, server)
+                hear = partial(one.permits.hear, server)
                 self._world.timers.after(_WAY_MS, hear)
 
     def hear(self, server):
@@ -128,8 +128,8 @@
         self._sent.setdefault(server, []).append(self._world.now_ms())
 
     def wait_ms(self, server):
-        """See LimitTurns."""
-        return 0 if self.has_turn(server) else _MS_PER_SECOND
+        """See LimitPermits."""
+        return 0 if self.has_permit(server) else _MS_PER_SECOND
 
 
 @ways.register('ignored')
@@ -141,20 +141,20 @@
 @ways.register('each for itself')
 def keep_alone(instance):
     """Let each instance send what the server takes of all."""
-    instance.limits.turns._shares = WholeShares(1)  # noqa: SLF001
+    instance.limits.permits._shares = WholeShares(1)  # noqa: SLF001
 
 
 @ways.register('even over all')
 def divide_evenly(instance):
     """Give every instance the same part, asked or not."""
     part = 1 / instance.world.case.instances
-    instance.limits.turns._shares = WholeShares(part)  # noqa: SLF001
+    instance.limits.permits._shares = WholeShares(part)  # noqa: SLF001
 
 
 @ways.register('counted by what is told')
 def count_told(instance):
     """Count what the others told that they sent."""
-    instance.turns = ToldTurns(instance.world, instance)
+    instance.permits = ToldTurns(instance.world, instance)
 
 
 @ways.register('holders by hash')
@@ -174,8 +174,8 @@
     Attributes:
       world: The World.
       name: Its id.
-      limits: The LimitDesk.
-      turns: What decides whether it may send to a server with a limit.
+      limits: The ServerRateLimits.
+      permits: What decides whether it may send to a server with a limit.
       hears: Whether it hears of limits, a bool.
       lends: Whether turns are lent, a bool.
     """
@@ -184,8 +184,8 @@
         """Start the instance."""
         self.world = world
         self.name = name
-        self.limits = LimitDesk(world.timers, name, 'boot')
-        self.turns = self.limits.turns
+        self.limits = ServerRateLimits(world.timers, name, 'boot')
+        self.permits = self.limits.permits
         self.hears = True
         self.lends = True
         self._backends = make_backends(_SERVERS)
@@ -196,9 +196,9 @@
             self._ask,
         )
         if self.hears:
-            self.limits.words.subscribe(self._tell_soon)
+            self.limits.advertised.subscribe(self._tell_soon)
             world.timers.every(_PACE_MS, self._tell)
-        self._borrower = TurnBorrower(
+        self._borrower = PermitBorrower(
             world.timers.clock,
             world.random,
             self.limits,
@@ -210,7 +210,7 @@
         """See ForwardPort."""
         server = placement.backend.identity
         sent_ms = self.world.now_ms()
-        self.turns.note_sent(server)
+        self.permits.note_sent(server)
         self.world.note_arrival(server)
         self.world.running[server] += 1
         self.world.timers.after(_WAY_MS, partial(self._hear, server, sent_ms))
@@ -220,15 +220,15 @@
         return SentCall()
 
     def borrow(self, servers, on_done):
-        """See TurnLending."""
+        """See PermitLending."""
         lenders = self._borrower.list_lenders(servers) if self.lends else []
         if lenders:
             self._ask_lender(lenders, servers, on_done)
         return bool(lenders)
 
-    def give_back(self, server):
-        """See TurnLending."""
-        self.limits.turns.give_back(server)
+    def discard_borrowed(self, server):
+        """See PermitLending."""
+        self.limits.permits.discard_borrowed(server)
 
     def _ask_lender(self, lenders, servers, on_done):
         lender, *others = lenders
@@ -237,9 +237,9 @@
         def take():
             offer = None
             if found is not None:
-                words = found.limits.words
+                words = found.limits.advertised
                 known = [one for one in servers if words.limit_of(one)]
-                offer = lend_turn(found.limits.turns, known)
+                offer = lend_permit(found.limits.permits, known)
             server = self._borrower.take(lender, offer)
             if server is None and others:
                 self._ask_lender(others, servers, on_done)
@@ -250,21 +250,23 @@
 
     def _ask(self, server):
         sent_ms = self.world.now_ms()
-        self.turns.note_sent(server)
+        self.permits.note_sent(server)
         self.world.note_arrival(server)
         self.world.timers.after(_WAY_MS, partial(self._hear, server, sent_ms))
 
     def _hear(self, server, sent_ms):
         if self.hears:
             limit = self.world.limit_of(server)
-            self.limits.words.receive_answer(server, limit, sent_ms)
+            self.limits.advertised.receive_answer(server, limit, sent_ms)
 
     def _tell_soon(self):
         self.world.timers.after(_WAY_MS, self._tell)
 
     def _tell(self):
         for one in self.world.reached_by(self):
-            one.limits.words.merge_updates(self.limits.words.list_updates())
+            one.limits.advertised.merge_updates(
+                self.limits.advertised.list_updates()
+            )
 
     def _finish(self, server, listener):
         self.world.running[server] -= 1
@@ -274,8 +276,8 @@
     def _make_desk(self):
         parts = make_parts(self.world.timers, lambda: list(self._backends))
         parts.random = self.world.random
-        parts.hints = ReturnHints(self.world.random)
-        parts.turns = self.turns
+        parts.hints = RetryHints(self.world.random)
+        parts.permits = self.permits
         desk = make_plain_desk(self, parts, parts.hints)
         desk.lending = self
         return desk
--- a/bench/model_desk.py
+++ b/bench/model_desk.py
@@ -46,7 +46,7 @@
     Args:
       port: A ForwardPort.
       parts: The ChooserParts of the pool.
-      hints: The ReturnHints of callers that some server turned away.
+      hints: The RetryHints of callers that some server turned away.
       history: A CrashHistory, or None for one that nobody tells anything.
     """
     timers = parts.timers
--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -240,7 +240,7 @@
         'servers whose limit is used up are asked',
         'crankchute/platform/limited_servers_test.py',
         'crankchute/core/choosers.py',
-        'if has_turn(backend.identity)',
+        'if has_permit(backend.identity)',
         'if backend',
     ),
     Mutation(
@@ -289,8 +289,8 @@
         'a turn that is lent does not count',
         'crankchute/core/turn_lending_test.py',
         'crankchute/core/turn_lending.py',
-        'turns.note_sent(best)',
-        'turns.count(best)',
+        'permits.note_sent(best)',
+        'permits.available(best)',
     ),
     Mutation(
         'a request that is held is sent with a turn of others',
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -29,7 +29,7 @@
 from crankchute.core.forward_job import PromptSize, RetryMode
 from crankchute.core.outcomes import Outcome
 from crankchute.core.reservations import ReservationDesk
-from crankchute.core.return_hints import ReturnHints
+from crankchute.core.return_hints import RetryHints
 from crankchute.core.sliding_budget import RetryLimits
 from crankchute.ports.forwarding import AnswerSink
 from crankchute.ports.metrics import Metrics
@@ -193,7 +193,7 @@
         parts = make_parts(self.timers, lambda: backends)
         parts.pool.figures = figures
         parts.random = self._random
-        parts.hints = ReturnHints(self._random)
+        parts.hints = RetryHints(self._random)
         parts.work_tracker = EngineWorkTracker(self.timers.clock.now_ms)
         chosen = choosers[chooser](parts)
         journal = FakeJournal()
--- a/bench/rest_ways.py
+++ b/bench/rest_ways.py
@@ -16,7 +16,7 @@
 from crankchute.core.forward_job import RetryMode
 from crankchute.core.outcomes import Outcome
 from crankchute.core.registry import Registry
-from crankchute.core.return_hints import ReturnHints
+from crankchute.core.return_hints import RetryHints
 from crankchute.ports.forwarding import AnswerHead, ForwardPort, Rejection
 
 #: What an instance does with a server's wish, by name: functions of the World,
@@ -247,7 +247,7 @@
     def _make_desk(self, instance):
         parts = make_parts(self.timers, lambda: list(self.fleets[instance]))
         parts.random = self.random
-        parts.hints = ReturnHints(self.random)
+        parts.hints = RetryHints(self.random)
         return make_plain_desk(Servers(self, instance), parts, parts.hints)
 
 
--- a/crankchute/adapters/forward_journal.py
+++ b/crankchute/adapters/forward_journal.py
@@ -139,7 +139,7 @@
 
         Args:
           request_id: The request's id.
-          helpers: The Helpers with tickets.
+          helpers: The PrefillHelpers with tickets.
           refused: Those among them that set nothing aside.
           took_ms: Milliseconds until the last of them was known.
         """
--- a/crankchute/core/briefing.py
+++ b/crankchute/core/briefing.py
@@ -84,8 +84,8 @@
       drained: Ids of backend servers that are draining.
       gone: Ids of backend servers whose entries were recently deleted.
       impressions: A list of Impression, for servers that seem unhealthy.
-      limits: LimitWords, for servers that recently announced or withdrew a
-        limit.
+      limits: AdvertisedLimit records, for servers that recently announced or
+        withdrew a limit.
       wants_work: Whether the sender subscribes to the receiver's work, a bool.
       lacks_work: Whether the sender needs a snapshot of it, a bool.
       batch: A WorkBatch.
--- a/crankchute/core/choosers.py
+++ b/crankchute/core/choosers.py
@@ -38,10 +38,11 @@
         instance's work to other instances.
       new_ticket: A function that returns the id of a new memory reservation.
       data_centre: The data centre of this instance.
-      hints: The ReturnHints for refused callers.
+      hints: The RetryHints for refused callers.
       is_connected: A function of a Backend that returns whether an idle
         connection to it is open.
-      turns: The LimitTurns, this instance's part of the servers' rate limits.
+      permits: The LimitPermits, this instance's part of the servers' rate
+        limits.
       last_peer_message_age_ms: A function that returns the time since the last
         message from another instance, in milliseconds, or None.
     """
@@ -58,7 +59,7 @@
         'pool',
         'random',
         'timers',
-        'turns',
+        'permits',
     )
 
     def __init__(self, **fields):
@@ -103,17 +104,17 @@
         if members is None:
             members = self._parts.members()
         now_ms = self.now_ms()
-        has_turn = self._parts.turns.has_turn
+        has_permit = self._parts.permits.has_permit
         available = [
             backend
             for backend in self._list_available(members, avoided)
-            if has_turn(backend.identity)
+            if has_permit(backend.identity)
         ]
         return [
             backend for backend in available if backend.breaker.allows(now_ms)
         ] or available
 
-    def list_without_turn(self, avoided):
+    def list_without_permit(self, avoided):
         """Return the ids of servers excluded only by their rate limit.
 
         Args:
@@ -121,11 +122,11 @@
         Returns:
           A list.
         """
-        has_turn = self._parts.turns.has_turn
+        has_permit = self._parts.permits.has_permit
         return [
             backend.identity
             for backend in self._list_available(self._parts.members(), avoided)
-            if not has_turn(backend.identity)
+            if not has_permit(backend.identity)
         ]
 
     def choose_on_server(self, job, server):
@@ -218,7 +219,7 @@
             return refuse_not_run(
                 PAUSED_OR_LIMITED,
                 'no backend server of the pool wants a request now',
-                self._parts.hints.choose_after_ms(earliest_ms),
+                self._parts.hints.choose_at_least_ms(earliest_ms),
             )
         return refuse_not_run(
             'no_backend',
@@ -237,7 +238,7 @@
     def _retry_delay_ms(self, backend):
         """Return the time until a server accepts requests of this instance."""
         pause_ms = backend.paused_until_ms - self.now_ms()
-        return max(pause_ms, self._parts.turns.wait_ms(backend.identity))
+        return max(pause_ms, self._parts.permits.wait_ms(backend.identity))
 
 
 @choosers.register(LEAST_BUSY)
--- a/crankchute/core/completion_machine_test.py
+++ b/crankchute/core/completion_machine_test.py
@@ -186,7 +186,7 @@
             assert not backend.long_prompt_count
         assert not self.engines.held
         account = self.dispatcher.config.accounts['acc']
-        assert not self.limits.use_of(account).in_progress
+        assert not self.limits.usage_of(account).in_progress
 
     def report_load(self):
         """Report the load of every engine."""
--- a/crankchute/core/crash_ledger.py
+++ b/crankchute/core/crash_ledger.py
@@ -73,7 +73,7 @@
 
     @property
     def quarantined(self):
-        """A list of the quarantined requests, HeldRequests."""
+        """A list of the quarantined requests, QuarantinedRequests."""
         return list(self._quarantined.values())
 
     def __len__(self):
--- a/crankchute/core/dispatcher.py
+++ b/crankchute/core/dispatcher.py
@@ -140,7 +140,7 @@
         self._queue.discard(flow)
         account = self.config.accounts.get(job.account)
         if account is not None:
-            self._limits.use_of(account).release()
+            self._limits.usage_of(account).release()
         if outcome == Outcome.OK:
             self._budget(job.account).note_success()
             # Admission predicts durations with the mean time between tokens.
@@ -217,7 +217,7 @@
 
     def _check_account(self, job):
         account = self.config.accounts[job.account]
-        usage = self._limits.use_of(account)
+        usage = self._limits.usage_of(account)
         retry_after_ms = usage.admit(job.tokens, self.now_ms())
         if retry_after_ms is None:
             return None
--- a/crankchute/core/engine_chooser.py
+++ b/crankchute/core/engine_chooser.py
@@ -234,11 +234,11 @@
         A split prefill sends requests to every engine, which count against
         their rate limits, so engines with a low limit do not take part.
         """
-        may_help = self._parts.turns.may_help
+        may_take_reservations = self._parts.permits.may_take_reservations
         available = [
             candidate
             for candidate in candidates
-            if may_help(candidate.backend.identity)
+            if may_take_reservations(candidate.backend.identity)
         ]
         required_parts = count_required_parts(self._figures, job)
         min_parts = max(min(required_parts, len(available)), 1)
--- a/crankchute/core/forward_config.py
+++ b/crankchute/core/forward_config.py
@@ -6,7 +6,7 @@
 that loses only its own connection to the platform can keep serving.
 """
 
-from crankchute.core.proof import Proof
+from crankchute.core.proof import FreshnessProof
 from crankchute.core.route_table import RouteTable
 
 
@@ -121,7 +121,7 @@
         self._listeners = []
         self.config = None
         self.source = b''
-        self._proof = Proof()
+        self._proof = FreshnessProof()
 
     @property
     def version(self):
@@ -153,7 +153,7 @@
             listener(config)
         return True
 
-    def prove(self, version, asked_ms):
+    def confirm(self, version, asked_ms):
         """Record that a version was the newest at a given time.
 
         Ignored unless that version is in force.
--- a/crankchute/core/forward_config_test.py
+++ b/crankchute/core/forward_config_test.py
@@ -27,9 +27,9 @@
     holder = ForwardConfigHolder()
     assert holder.proof_age_ms(0) is None
     holder.offer(make_config(1), b'')
-    holder.prove(1, 100)
+    holder.confirm(1, 100)
     assert holder.proof_age_ms(350) == 250
-    holder.prove(1, 50)
+    holder.confirm(1, 50)
     assert holder.proof_age_ms(350) == 250
 
 
@@ -37,5 +37,5 @@
 def test_proof_of_another_version_is_ignored(version):
     holder = ForwardConfigHolder()
     holder.offer(make_config(2), b'')
-    holder.prove(version, 100)
+    holder.confirm(version, 100)
     assert holder.proof_age_ms(100) is None
--- a/crankchute/core/forward_desk.py
+++ b/crankchute/core/forward_desk.py
@@ -13,7 +13,7 @@
 from crankchute.core.forward_flow import ForwardFlow
 from crankchute.core.forward_job import Placement
 from crankchute.core.outcomes import Outcome, refuse_not_run
-from crankchute.core.sliding_budget import SlidingBudget
+from crankchute.core.sliding_budget import SlidingRetryBudget
 from crankchute.core.turn_lending import NoLending
 from crankchute.ports.forwarding import MOVED
 
@@ -26,7 +26,7 @@
       metrics: A Metrics port.
       journal: A ForwardJournal, which logs decisions.
       crash_watch: The CrashDetector.
-      lending: The TurnLending.
+      lending: The PermitLending.
       find_chooser: A function that maps a pool name to a Chooser or None.
     """
 
@@ -253,7 +253,7 @@
         key = (account, job.pool)
         budget = self._budgets.get(key)
         if budget is None:
-            budget = SlidingBudget(self._limits)
+            budget = SlidingRetryBudget(self._limits)
             budget.note_instances(self._instances)
             self._budgets[key] = budget
         return budget
@@ -299,7 +299,7 @@
         Args:
           fields: `forward`, a ForwardPort; `timers`, a TimerService;
             `metrics`, a Metrics port; `journal`, a ForwardJournal;
-            `reservations`, a ReservationDesk; `hints`, ReturnHints;
+            `reservations`, a ReservationDesk; `hints`, RetryHints;
             `crashes`, a CrashHistory;
             `find_chooser`, a function that maps a pool name to a Chooser or
             None;
--- a/crankchute/core/forward_fakes.py
+++ b/crankchute/core/forward_fakes.py
@@ -16,8 +16,8 @@
     PromptSize,
     RetryMode,
 )
-from crankchute.core.limit_desk import LimitDesk
-from crankchute.core.return_hints import ReturnHints
+from crankchute.core.limit_desk import ServerRateLimits
+from crankchute.core.return_hints import RetryHints
 from crankchute.core.reservations import ReservationDesk, ReservationPort
 from crankchute.core.sliding_budget import RetryLimits
 from crankchute.ports.forwarding import AnswerSink, ForwardPort
@@ -344,7 +344,7 @@
             metrics=metrics,
             journal=self.journal,
             reservations=self.reservation_desk,
-            hints=ReturnHints(Random(1)),
+            hints=RetryHints(Random(1)),
             crashes=self.crashes,
             note_moved=self.moved.append,
             find_chooser={POOL: self.chooser}.get,
@@ -430,11 +430,11 @@
         work_tracker=EngineWorkTracker(timers.clock.now_ms),
         announce_work=announce_work or _ignore,
         last_peer_message_age_ms=_ignore,
-        hints=ReturnHints(_FixedRandom()),
+        hints=RetryHints(_FixedRandom()),
         data_centre='',
         is_connected=_ignore,
         new_ticket=lambda: f'ticket-{next(ticket_numbers)}',
-        turns=LimitDesk(timers, 'entry-0', 'boot').turns,
+        permits=ServerRateLimits(timers, 'entry-0', 'boot').permits,
     )
 
 
--- a/crankchute/core/keys.py
+++ b/crankchute/core/keys.py
@@ -209,7 +209,7 @@
         """
         return self._entries[account, str(key)].answer
 
-    def forget_expired(self, now_ms):
+    def evict_expired(self, now_ms):
         """Drop the entries of ended requests whose keys have expired.
 
         Args:
--- a/crankchute/core/keys_test.py
+++ b/crankchute/core/keys_test.py
@@ -84,6 +84,6 @@
     ledger = KeyLedger(_OWN_BINDING, _MAX_LIFETIME_MS)
     ledger.claim('acc', _make_key(), 0)
     ledger.end('acc', _make_key(), 'answer', 6)
-    ledger.forget_expired(501)
+    ledger.evict_expired(501)
     assert not len(ledger)
     assert ledger.claim('acc', _make_key(), 501) == Claim.EXPIRED
--- a/crankchute/core/limit_desk.py
+++ b/crankchute/core/limit_desk.py
@@ -2,18 +2,18 @@
 
 from crankchute.core.limit_questions import LimitProber
 from crankchute.core.limit_shares import LimitShares, ParticipantTracker
-from crankchute.core.limit_turns import LimitTurns
+from crankchute.core.limit_turns import LimitPermits
 from crankchute.core.server_limits import AdvertisedLimits
 
 _PARTICIPANT_POLL_MS = 250
 
 
-class LimitDesk:
+class ServerRateLimits:
     """The rate limits of backend servers at one instance.
 
     Attributes:
-      words: The limits that servers advertise.
-      turns: The permits of this instance to send to these servers.
+      advertised: The limits that servers advertise.
+      permits: The permits of this instance to send to these servers.
       shares: This instance's shares of the limits.
     """
 
@@ -28,8 +28,8 @@
         self._timers = timers
         self._participant_tracker = ParticipantTracker(instance)
         self.shares = LimitShares(timers.clock, instance)
-        self.words = AdvertisedLimits(timers.clock, f'{instance}-{boot}')
-        self.turns = LimitTurns(timers.clock, self.words, self.shares)
+        self.advertised = AdvertisedLimits(timers.clock, f'{instance}-{boot}')
+        self.permits = LimitPermits(timers.clock, self.advertised, self.shares)
 
     def start(self, list_active, is_unreachable, send_probe):
         """Start tracking the participants and probing limited servers.
@@ -53,4 +53,4 @@
 
         update_participants()
         self._timers.every(_PARTICIPANT_POLL_MS, update_participants)
-        LimitProber(self._timers, self.words, self.shares, send_probe)
+        LimitProber(self._timers, self.advertised, self.shares, send_probe)
--- a/crankchute/core/limit_shares.py
+++ b/crankchute/core/limit_shares.py
@@ -157,7 +157,7 @@
             self._views.append(_View(participants, self._clock.now_ms()))
             self._cached_shares = {}
 
-    def part_of(self, server, limit):
+    def share_of(self, server, limit):
         """Return this instance's smallest share of a limit in the window.
 
         Args:
--- a/crankchute/core/limit_shares_test.py
+++ b/crankchute/core/limit_shares_test.py
@@ -60,7 +60,7 @@
 
     @property
     def share(self):
-        return self.shares.part_of('i-1', 100)
+        return self.shares.share_of('i-1', 100)
 
 
 def test_larger_share_takes_effect_after_a_window():
--- a/crankchute/core/limit_turns.py
+++ b/crankchute/core/limit_turns.py
@@ -62,7 +62,7 @@
         self.tokens = max(self.tokens - 1, -rate * WINDOW_MS)
 
 
-class LimitTurns:
+class LimitPermits:
     """One instance's permits for all servers with a limit."""
 
     def __init__(self, clock, limits, shares):
@@ -79,7 +79,7 @@
         self._buckets = {}
         self._borrowed = Counter()
 
-    def has_turn(self, server):
+    def has_permit(self, server):
         """Return whether a request may be sent to a server now.
 
         Args:
@@ -89,7 +89,7 @@
             return True
         return self._refill(server).tokens >= 1 - _EPSILON
 
-    def count(self, server):
+    def available(self, server):
         """Return the number of tokens for a server with a limit.
 
         Args:
@@ -97,7 +97,7 @@
         """
         return self._refill(server).tokens
 
-    def borrow(self, server):
+    def add_borrowed(self, server):
         """Add a permit lent by another instance, which has counted it.
 
         Args:
@@ -105,7 +105,7 @@
         """
         self._borrowed[server] += 1
 
-    def give_back(self, server):
+    def discard_borrowed(self, server):
         """Discard an unused borrowed permit.
 
         Args:
@@ -114,7 +114,7 @@
         if self._borrowed[server]:
             self._borrowed[server] -= 1
 
-    def may_help(self, server):
+    def may_take_reservations(self, server):
         """Return whether a server may get reservations for joint reads.
 
         Args:
@@ -148,7 +148,7 @@
         Args:
           server: The server's id.
         """
-        if self.has_turn(server):
+        if self.has_permit(server):
             return 0
         rate = self._rate(server)
         if rate:
@@ -168,4 +168,4 @@
     def _rate(self, server):
         """Return this instance's rate for a server, per millisecond."""
         limit = self._limits.limit_of(server)
-        return limit * self._shares.part_of(server, limit) / _MS_PER_SECOND
+        return limit * self._shares.share_of(server, limit) / _MS_PER_SECOND
--- a/crankchute/core/limit_turns_test.py
+++ b/crankchute/core/limit_turns_test.py
@@ -3,7 +3,7 @@
 import pytest
 
 from crankchute.core.fakes import ManualTimers
-from crankchute.core.limit_desk import LimitDesk
+from crankchute.core.limit_desk import ServerRateLimits
 
 SERVER = 'i-1'
 _WINDOW_MS = 4000
@@ -16,7 +16,7 @@
 
     def __init__(self, holder='entry-0'):
         self.timers = ManualTimers()
-        self.limits = LimitDesk(self.timers, 'entry-0', 'boot')
+        self.limits = ServerRateLimits(self.timers, 'entry-0', 'boot')
         self.probed_ms = []
         self.sent_ms = []
         self.limits.start(
@@ -36,15 +36,15 @@
 
     def send(self):
         self.sent_ms.append(self.now_ms)
-        self.limits.turns.note_sent(SERVER)
+        self.limits.permits.note_sent(SERVER)
 
     def advertise(self, limit):
-        self.limits.words.receive_answer(SERVER, limit, self.now_ms)
+        self.limits.advertised.receive_answer(SERVER, limit, self.now_ms)
 
     def send_all(self, for_ms):
         """Send all requests that are permitted, every 10 ms."""
         for _ in range(for_ms // 10):
-            while self.limits.turns.has_turn(SERVER):
+            while self.limits.permits.has_permit(SERVER):
                 self.send()
             self.timers.advance(10)
 
@@ -86,11 +86,11 @@
 @pytest.mark.parametrize(('limit', 'wait_ms'), [(2, 500), (0.1, 10_000)])
 def test_wait_time_of_the_next_permit(limit, wait_ms):
     harness = LimitHarness()
-    assert not harness.limits.turns.wait_ms(SERVER)
+    assert not harness.limits.permits.wait_ms(SERVER)
     harness.advertise(limit)
-    assert not harness.limits.turns.wait_ms(SERVER)
+    assert not harness.limits.permits.wait_ms(SERVER)
     harness.send()
-    assert harness.limits.turns.wait_ms(SERVER) == pytest.approx(wait_ms)
+    assert harness.limits.permits.wait_ms(SERVER) == pytest.approx(wait_ms)
 
 
 def test_excess_requests_delay_later_ones():
@@ -99,13 +99,13 @@
     harness.advertise(1)
     for _ in range(3):
         harness.send()
-    assert harness.limits.turns.wait_ms(SERVER) == pytest.approx(3000)
+    assert harness.limits.permits.wait_ms(SERVER) == pytest.approx(3000)
     for _ in range(50):
         harness.send()
     for _ in range(5):
         harness.timers.advance(1000)
         harness.advertise(1)
-    assert harness.limits.turns.has_turn(SERVER)
+    assert harness.limits.permits.has_permit(SERVER)
 
 
 def test_server_without_requests_is_probed():
@@ -143,12 +143,15 @@
 
 
 @pytest.mark.parametrize(
-    ('limit', 'may_help'),
+    ('limit', 'may_take_reservations'),
     [(None, True), (0, False), (1, False), (2, True), (50, True)],
 )
-def test_server_with_a_low_limit_does_not_help(limit, may_help):
+def test_server_with_a_low_limit_does_not_help(limit, may_take_reservations):
     """Memory reservations alone would use up its limit."""
     harness = LimitHarness()
     if limit is not None:
         harness.advertise(limit)
-    assert harness.limits.turns.may_help(SERVER) == may_help
+    assert (
+        harness.limits.permits.may_take_reservations(SERVER)
+        == may_take_reservations
+    )
--- a/crankchute/core/limits.py
+++ b/crankchute/core/limits.py
@@ -95,7 +95,7 @@
             self._borrowed.append(Loan(fraction, requested_ms + _LOAN_MS))
 
 
-class AccountUse:
+class AccountUsage:
     """One account's usage at one instance.
 
     Attributes:
@@ -226,27 +226,27 @@
         """Return the number of account records."""
         return len(self._uses)
 
-    def use_of(self, account):
+    def usage_of(self, account):
         """Return an account's usage record, creating it if needed.
 
         Args:
           account: An Account of the current configuration.
         Returns:
-          An AccountUse.
+          An AccountUsage.
         """
         use = self._uses.get(account.name)
         if use is None:
-            use = AccountUse(account, self._clock.now_ms())
+            use = AccountUsage(account, self._clock.now_ms())
             self._uses[account.name] = use
         elif use.account is not account:
             use.update(account)
         return use
 
-    def pressed(self):
+    def list_refused(self):
         """Return the accounts' records with refusals since the last call."""
         return [use for use in self._uses.values() if use.take_refused_flag()]
 
-    def forget_idle(self):
+    def evict_idle(self):
         """Drop accounts without requests whose token bucket is full."""
         now_ms = self._clock.now_ms()
         for name, use in tuple(self._uses.items()):
--- a/crankchute/core/limits_test.py
+++ b/crankchute/core/limits_test.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 
 from crankchute.core.config import Account
-from crankchute.core.limits import AccountUse, Portion
+from crankchute.core.limits import AccountUsage, Portion
 
 _WIDTH = 3
 _TOLERANCE = 1e-9
@@ -38,7 +38,7 @@
 
 
 def _make_use(**limits):
-    return AccountUse(Account({'name': 'a', 'width': 1, **limits}), 0)
+    return AccountUsage(Account({'name': 'a', 'width': 1, **limits}), 0)
 
 
 def test_requests_in_progress_are_limited():
--- a/crankchute/core/once_machine_test.py
+++ b/crankchute/core/once_machine_test.py
@@ -138,7 +138,7 @@
     def advance_time(self, delay_ms):
         """Advance the clock, possibly past the key's expiry."""
         self.timers.advance(delay_ms)
-        self.ledger.forget_expired(self.timers.clock.now_ms())
+        self.ledger.evict_expired(self.timers.clock.now_ms())
 
     @precondition(lambda machine: machine.boot == 0)
     @rule()
--- a/crankchute/core/outcomes.py
+++ b/crankchute/core/outcomes.py
@@ -24,11 +24,11 @@
       text: A sentence for people.
       retry_after_ms: Milliseconds after which to retry, or None if a retry
         does not help.
-      passed_on: Whether the request was sent to a backend server or to another
-        entry instance, a bool.
+      was_dispatched: Whether the request was sent to a backend server or to
+        another entry instance, a bool.
     """
 
-    __slots__ = ('code', 'outcome', 'passed_on', 'retry_after_ms', 'text')
+    __slots__ = ('code', 'outcome', 'was_dispatched', 'retry_after_ms', 'text')
 
     def __init__(self, outcome, code, text, **details):
         """Create a refusal.
@@ -43,7 +43,9 @@
         self.code = code
         self.text = text
         self.retry_after_ms = details.get('retry_after_ms')
-        self.passed_on = details.get('passed_on', outcome != Outcome.NOT_RUN)
+        self.was_dispatched = details.get(
+            'was_dispatched', outcome != Outcome.NOT_RUN
+        )
 
     def __repr__(self):
         """Return a representation for debugging."""
--- a/crankchute/core/placement.py
+++ b/crankchute/core/placement.py
@@ -37,7 +37,7 @@
 
     Args:
       pool: A Pool.
-      slots: The EngineSlots of its live engines.
+      slots: The PoolEngines of its live engines.
       demand: A map from model name to tokens per second; missing means 0.
     Returns:
       A map from engine id to model name.
--- a/crankchute/core/prompt_admission.py
+++ b/crankchute/core/prompt_admission.py
@@ -137,7 +137,7 @@
     the caller's deadline permits.
 
     Args:
-      hints: ReturnHints.
+      hints: RetryHints.
       remaining_ms: The time left until the caller's deadline.
     Returns:
       A Refusal.
--- a/crankchute/core/proof.py
+++ b/crankchute/core/proof.py
@@ -7,7 +7,7 @@
 _MAX_STALE_MS = 3000
 
 
-def choose_stale_ms(in_force_ms):
+def choose_max_age_ms(in_force_ms):
     """Return the age at which an instance asks the platform itself.
 
     The instances that read from the platform for others may all lose their
@@ -19,7 +19,7 @@
     return min(max(in_force_ms, _MIN_STALE_MS), _MAX_STALE_MS)
 
 
-class Proof:
+class FreshnessProof:
     """The last time at which a version was confirmed as current.
 
     This is the time of the request, not of the response: a response only
--- a/crankchute/core/proof_test.py
+++ b/crankchute/core/proof_test.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from crankchute.core.proof import choose_stale_ms
+from crankchute.core.proof import choose_max_age_ms
 
 
 @pytest.mark.parametrize(
@@ -11,4 +11,4 @@
 )
 def test_stale_age_follows_the_time_to_take_effect(in_force_ms, stale_ms):
     """A version takes effect in time even if all readers disconnect."""
-    assert choose_stale_ms(in_force_ms) == stale_ms
+    assert choose_max_age_ms(in_force_ms) == stale_ms
--- a/crankchute/core/request_placing.py
+++ b/crankchute/core/request_placing.py
@@ -1,6 +1,6 @@
-"""Placement of a request, if necessary with a turn of another instance.
+"""Placement of a request, if necessary with a permit of another instance.
 
-A turn is the right to send one request to a rate-limited server.
+A permit is the right to send one request to a rate-limited server.
 """
 
 from crankchute.core.choosers import PAUSED_OR_LIMITED
@@ -10,7 +10,7 @@
 def place_request(context, flow, avoided, on_choice):
     """Choose the server of a request's next attempt.
 
-    If this instance has no turn at any server, it tries to borrow one from
+    If this instance has no permit at any server, it tries to borrow one from
     another instance, since a low rate limit is divided among few instances.
 
     Args:
@@ -21,14 +21,14 @@
         or after other instances have answered, when the flow may have ended.
     """
     choice = context.choose(flow, avoided)
-    # A turn does not help against refusals for other reasons, such as a
+    # A permit does not help against refusals for other reasons, such as a
     # request that crashes servers.
     if isinstance(choice, Placement) or choice.code != PAUSED_OR_LIMITED:
         on_choice(choice)
         return
     chooser = context.find_chooser(flow.job.pool)
 
-    def on_turn(server):
+    def on_permit(server):
         placement = None
         if server is not None and not flow.ended:
             placement = chooser.choose_on_server(flow.job, server)
@@ -36,8 +36,10 @@
             chooser.note_sent(flow.job, placement)
             on_choice(placement)
         else:
-            context.lending.give_back(server)
+            context.lending.discard_borrowed(server)
             on_choice(choice)
 
-    if not context.lending.borrow(chooser.list_without_turn(avoided), on_turn):
+    if not context.lending.borrow(
+        chooser.list_without_permit(avoided), on_permit
+    ):
         on_choice(choice)
--- a/crankchute/core/request_placing_test.py
+++ b/crankchute/core/request_placing_test.py
@@ -1,4 +1,4 @@
-"""Tests of the placement of requests with borrowed turns."""
+"""Tests of the placement of requests with borrowed permits."""
 
 import pytest
 
@@ -31,7 +31,7 @@
     def find_chooser(self, _pool):
         return self
 
-    def list_without_turn(self, _avoided):
+    def list_without_permit(self, _avoided):
         return self.without_turn
 
     def choose_on_server(self, _job, server):
@@ -46,20 +46,20 @@
         self.on_done = on_done
         return bool(servers)
 
-    def give_back(self, server):
+    def discard_borrowed(self, server):
         self.given_back.append(server)
 
 
 PLACEMENT = Placement(None)
 LENT_PLACEMENT = Placement(None)
-NO_TURN = refuse_not_run(PAUSED_OR_LIMITED, 'no turn')
+NO_PERMIT = refuse_not_run(PAUSED_OR_LIMITED, 'no turn')
 CRASHING = refuse_not_run('crashes_servers', 'servers crashed under it')
 OVERLOADED = refuse_not_run('crowded', 'others would be late')
 
 
 @pytest.mark.parametrize('choice', [PLACEMENT, CRASHING, OVERLOADED])
 def test_turn_is_borrowed_only_if_that_is_all_that_is_missing(choice):
-    """For instance, no turn is borrowed for a request that crashes servers."""
+    """For instance, no permit is borrowed for a request that crashes servers."""
     world = World(choice, LENT_PLACEMENT)
     outcomes = []
     place_request(world, world, set(), outcomes.append)
@@ -68,26 +68,26 @@
 
 
 def test_refusal_is_immediate_without_servers_to_borrow_for():
-    world = World(NO_TURN, LENT_PLACEMENT, without_turn=())
+    world = World(NO_PERMIT, LENT_PLACEMENT, without_turn=())
     outcomes = []
     place_request(world, world, set(), outcomes.append)
-    assert outcomes == [NO_TURN]
+    assert outcomes == [NO_PERMIT]
 
 
 @pytest.mark.parametrize(
     ('server', 'server_choice', 'ended', 'expected', 'given_back'),
     [
         ('i-2', LENT_PLACEMENT, False, [LENT_PLACEMENT], []),
-        (None, LENT_PLACEMENT, False, [NO_TURN], [None]),
-        # The turn is not kept if the request cannot run there or has ended.
-        ('i-2', CRASHING, False, [NO_TURN], ['i-2']),
-        ('i-2', LENT_PLACEMENT, True, [NO_TURN], ['i-2']),
+        (None, LENT_PLACEMENT, False, [NO_PERMIT], [None]),
+        # The permit is not kept if the request cannot run there or has ended.
+        ('i-2', CRASHING, False, [NO_PERMIT], ['i-2']),
+        ('i-2', LENT_PLACEMENT, True, [NO_PERMIT], ['i-2']),
     ],
 )
 def test_borrowed_turn_is_used_at_its_server_or_given_back(
     server, server_choice, ended, expected, given_back
 ):
-    world = World(NO_TURN, server_choice)
+    world = World(NO_PERMIT, server_choice)
     outcomes = []
     place_request(world, world, set(), outcomes.append)
     assert not outcomes
--- a/crankchute/core/return_hints.py
+++ b/crankchute/core/return_hints.py
@@ -15,7 +15,7 @@
 _JITTER = 0.25
 
 
-class ReturnHints:
+class RetryHints:
     """Chooses retry delays."""
 
     def __init__(self, random):
@@ -40,7 +40,7 @@
         jitter = self._random.uniform(1 - _JITTER, 1 + _JITTER)
         return max(delay_ms, _MIN_DELAY_MS) * jitter
 
-    def choose_after_ms(self, unavailable_ms):
+    def choose_at_least_ms(self, unavailable_ms):
         """Return a delay that is never shorter than a known unavailability.
 
         An earlier retry would certainly be refused.  The caller's remaining
--- a/crankchute/core/return_hints_test.py
+++ b/crankchute/core/return_hints_test.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from crankchute.core.return_hints import ReturnHints
+from crankchute.core.return_hints import RetryHints
 
 
 @pytest.mark.parametrize(
@@ -24,13 +24,13 @@
     recovery_ms,
     expected_ms,
 ):
-    hints = ReturnHints(random.Random(1))
+    hints = RetryHints(random.Random(1))
     delays_ms = [hints.choose_ms(remaining_ms, recovery_ms) for _ in range(200)]
     assert min(delays_ms) >= expected_ms * 0.75
     assert max(delays_ms) <= expected_ms * 1.25
 
 
 def test_delays_of_simultaneous_refusals_differ():
-    hints = ReturnHints(random.Random(1))
+    hints = RetryHints(random.Random(1))
     delays_ms = {round(hints.choose_ms(10_000)) for _ in range(50)}
     assert len(delays_ms) > 40
--- a/crankchute/core/server_limits.py
+++ b/crankchute/core/server_limits.py
@@ -130,19 +130,19 @@
         else:
             self._publish(server, limit)
 
-    def merge_updates(self, words):
+    def merge_updates(self, reports):
         """Merge the reports of another instance.
 
         Args:
-          words: LimitWords.
+          reports: A list of AdvertisedLimit.
         """
-        for report in words:
+        for report in reports:
             known = self._reports.get(report.server)
             if known is None or self._is_newer(report, known):
                 self._reports[report.server] = report
 
     def list_updates(self):
-        """Return the LimitWords to send to other instances."""
+        """Return the AdvertisedLimit records to send to other instances."""
         now_ms = self._clock.now_ms()
         if self._reports and now_ms - self._shared_at_ms > _CACHE_MS:
             self._shared_at_ms = now_ms
--- a/crankchute/core/server_list.py
+++ b/crankchute/core/server_list.py
@@ -6,7 +6,7 @@
 one, whichever instance read them.
 """
 
-from crankchute.core.proof import Proof
+from crankchute.core.proof import FreshnessProof
 from crankchute.core.replica import Replica
 
 #: How many deleted entries are kept for lists that still have them; a list that
@@ -21,7 +21,7 @@
         """Create an empty list of revision 0."""
         self._replica = Replica()
         self._complete_from = 0
-        self._proof = Proof()
+        self._proof = FreshnessProof()
 
     @property
     def revision(self):
@@ -67,7 +67,7 @@
             if any(one.payload is None for one in changes.entries.values()):
                 self._discard_deleted()
 
-    def prove(self, revision, asked_ms):
+    def confirm(self, revision, asked_ms):
         """Record that a revision was the newest at a time.
 
         Args:
--- a/crankchute/core/server_list_test.py
+++ b/crankchute/core/server_list_test.py
@@ -72,12 +72,12 @@
 )
 def test_proof_counts_only_for_the_current_revision(revision, age_ms):
     servers = make_list(a=5)
-    servers.prove(revision, 60)
+    servers.confirm(revision, 60)
     assert servers.proof_age_ms(100) == age_ms
 
 
 def test_older_proof_does_not_replace_a_newer_one():
     servers = make_list(a=5)
-    servers.prove(5, 60)
-    servers.prove(5, 20)
+    servers.confirm(5, 60)
+    servers.confirm(5, 20)
     assert servers.proof_age_ms(100) == 40
--- a/crankchute/core/server_notice.py
+++ b/crankchute/core/server_notice.py
@@ -52,12 +52,12 @@
         Args:
           fleet: The ForwardFleet.
           journal: A ForwardJournal.
-          limits: The LimitDesk.
+          limits: The ServerRateLimits.
         """
         self._fleet = fleet
         self._journal = journal
-        self._limits = limits.words
-        self._turns = limits.turns
+        self._limits = limits.advertised
+        self._permits = limits.permits
 
     def note_sent(self, backend):
         """Count a request of any kind against the server's limit.
@@ -65,7 +65,7 @@
         Args:
           backend: The Backend.
         """
-        self._turns.note_sent(backend.identity)
+        self._permits.note_sent(backend.identity)
 
     def take(self, backend, notice, sent_ms):
         """Apply a notice.
--- a/crankchute/core/server_rests_test.py
+++ b/crankchute/core/server_rests_test.py
@@ -5,7 +5,7 @@
 from crankchute.core.fakes import ManualTimers
 from crankchute.core.forward_fleet import ForwardFleet
 from crankchute.core.forward_fleet_test import POOL, make_listed
-from crankchute.core.limit_desk import LimitDesk
+from crankchute.core.limit_desk import ServerRateLimits
 from crankchute.core.server_notice import ServerNotice, ServerNotices
 
 
@@ -23,7 +23,7 @@
         self.timers = ManualTimers()
         self.fleet = ForwardFleet(self.timers, POOL)
         self.fleet.put(make_listed('a'))
-        limits = LimitDesk(self.timers, 'entry-0', 'boot')
+        limits = ServerRateLimits(self.timers, 'entry-0', 'boot')
         self.notices = ServerNotices(self.fleet, NullJournal(), limits)
 
     @property
--- a/crankchute/core/service_flow.py
+++ b/crankchute/core/service_flow.py
@@ -10,8 +10,8 @@
 from crankchute.core.forward_desk import Forwarder, ForwarderPorts
 from crankchute.core.forward_job import ForwardJob, RetryMode
 from crankchute.core.hashing import make_fingerprint
-from crankchute.core.limit_desk import LimitDesk
-from crankchute.core.return_hints import ReturnHints
+from crankchute.core.limit_desk import ServerRateLimits
+from crankchute.core.return_hints import RetryHints
 from crankchute.core.sliding_budget import RetryLimits
 from crankchute.ports.forwarding import AnswerSink
 
@@ -131,9 +131,9 @@
         self._services = services
         self._fleet = fleet
         # Services behind the native API cannot declare server limits.
-        self._turns = LimitDesk(ports.timers, '', '').turns
+        self._permits = ServerRateLimits(ports.timers, '', '').permits
         self._choosers = {}
-        self._hints = ReturnHints(ports.random)
+        self._hints = RetryHints(ports.random)
         self._desk = Forwarder(
             ForwarderPorts(
                 forward=services,
@@ -205,7 +205,7 @@
             hints=self._hints,
             data_centre=None,
             is_connected=self._services.is_connected,
-            turns=self._turns,
+            permits=self._permits,
         )
 
     def _list_members(self, pool):
--- a/crankchute/core/sliding_budget.py
+++ b/crankchute/core/sliding_budget.py
@@ -37,7 +37,7 @@
         self.window_ms = window_ms
 
 
-class SlidingBudget:
+class SlidingRetryBudget:
     """The retry budget of one pool at one instance."""
 
     __slots__ = ('_limits', '_max_instances', '_requests', '_retries')
--- a/crankchute/core/sliding_budget_test.py
+++ b/crankchute/core/sliding_budget_test.py
@@ -4,7 +4,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from crankchute.core.sliding_budget import RetryLimits, SlidingBudget
+from crankchute.core.sliding_budget import RetryLimits, SlidingRetryBudget
 
 WINDOW_MS = 1000
 
@@ -62,7 +62,7 @@
 
 def make_budget(ratio, slack, instances=1):
     limits = RetryLimits(ratio=ratio, slack=slack, window_ms=WINDOW_MS)
-    budget = SlidingBudget(limits)
+    budget = SlidingRetryBudget(limits)
     budget.note_instances(instances)
     return budget
 
--- a/crankchute/core/turn_lending.py
+++ b/crankchute/core/turn_lending.py
@@ -12,7 +12,7 @@
 _MAX_LENDERS = 3
 
 
-class TurnOffer:
+class PermitOffer:
     """The answer to a request for a permit.
 
     Attributes:
@@ -33,25 +33,25 @@
         self.wait_ms = wait_ms
 
 
-def lend_turn(turns, servers):
+def lend_permit(permits, servers):
     """Lend a permit for the server for which this instance has the most.
 
     Args:
-      turns: This instance's permits.
+      permits: This instance's permits.
       servers: The ids of servers with limits that the borrower may use, a list.
     Returns:
       The offer to the borrower.
     """
-    best = max(servers, key=turns.count, default=None)
+    best = max(servers, key=permits.available, default=None)
     if best is None:
-        return TurnOffer(None, _MAX_REFUSAL_BACKOFF_MS)
-    if not turns.has_turn(best):
-        return TurnOffer(None, min(map(turns.wait_ms, servers)))
-    turns.note_sent(best)
-    return TurnOffer(best)
+        return PermitOffer(None, _MAX_REFUSAL_BACKOFF_MS)
+    if not permits.has_permit(best):
+        return PermitOffer(None, min(map(permits.wait_ms, servers)))
+    permits.note_sent(best)
+    return PermitOffer(best)
 
 
-class TurnBorrower:
+class PermitBorrower:
     """Chooses lenders and records their answers."""
 
     def __init__(self, clock, random, limits, own):
@@ -76,7 +76,7 @@
           servers: The ids of servers that a request may be sent to, a list.
         """
         limits = {
-            identity: self._limits.words.limit_of(identity)
+            identity: self._limits.advertised.limit_of(identity)
             for identity in servers
         }
         holders = {
@@ -105,7 +105,7 @@
           The id of the server for which it lent a permit, or None.
         """
         if offer is not None and offer.server is not None:
-            self._limits.turns.borrow(offer.server)
+            self._limits.permits.add_borrowed(offer.server)
             return offer.server
         wait_ms = _MAX_REFUSAL_BACKOFF_MS if offer is None else offer.wait_ms
         not_before_ms = self._clock.now_ms() + min(
@@ -123,5 +123,5 @@
         """Return False, as no instance is asked."""
         return False
 
-    def give_back(self, server):
+    def discard_borrowed(self, server):
         """Do nothing, as no permit was borrowed."""
--- a/crankchute/entry/answers.py
+++ b/crankchute/entry/answers.py
@@ -225,7 +225,7 @@
             'type': refusal.code,
             'message': refusal.text,
             'outcome': refusal.outcome.value,
-            'passed_on': refusal.passed_on,
+            'passed_on': refusal.was_dispatched,
             'retry_after_ms': refusal.retry_after_ms,
         },
     }
--- a/crankchute/entry/borrowing.py
+++ b/crankchute/entry/borrowing.py
@@ -33,14 +33,14 @@
         account = config and config.accounts.get(request.account)
         if account is not None:
             now_ms = self._timers.clock.now_ms()
-            use = self._limits.use_of(account)
+            use = self._limits.usage_of(account)
             in_use = use.used_fraction(now_ms)
             granted = use.portion.lend(request.wanted, in_use, now_ms)
         on_reply(peer_pb2.BorrowReply(granted=granted))
 
     def _check(self):
-        self._limits.forget_idle()
-        for use in self._limits.pressed():
+        self._limits.evict_idle()
+        for use in self._limits.list_refused():
             self._ask_sharers(use)
 
     def _ask_sharers(self, use):
--- a/crankchute/entry/forward_node.py
+++ b/crankchute/entry/forward_node.py
@@ -23,7 +23,7 @@
 from crankchute.core.forward_fleet import ForwardFleet
 from crankchute.core.load_survey import InitialLoadPoll
 from crankchute.core.reservations import ReservationDesk
-from crankchute.core.return_hints import ReturnHints
+from crankchute.core.return_hints import RetryHints
 from crankchute.core.server_list import ServerList
 from crankchute.entry.forward_peers import ForwardPeers
 from crankchute.entry.limited_servers import LimitedServers
@@ -148,7 +148,7 @@
         self.servers = ServerList()
         self.work_tracker = EngineWorkTracker(self.now_ms)
         self.crashes = CrashHistory(self.now_ms, self._on_held)
-        self._hints = ReturnHints(self.random)
+        self._hints = RetryHints(self.random)
         self._limits = limits
         self._is_connected = wiring.port.is_connected
         self._choosers = {}
@@ -188,7 +188,7 @@
         self.peers.limits.start(
             self.peers.list_active,
             self.peers.is_lost,
-            questions.ask,
+            questions.send_probe,
         )
         self.holder.subscribe(self._on_config)
         self._add_gauges()
@@ -305,7 +305,7 @@
         backend = self.fleet.get(engine)
         if backend is None:
             return []
-        limit_of = self.peers.limits.words.limit_of
+        limit_of = self.peers.limits.advertised.limit_of
         now_ms = self.now_ms()
         return [
             one
@@ -364,7 +364,7 @@
             last_peer_message_age_ms=self.peers.sharing.last_peer_message_age_ms,
             data_centre=self.identity.data_centre,
             is_connected=self._is_connected,
-            turns=self.peers.limits.turns,
+            permits=self.peers.limits.permits,
         )
         return choosers[name](parts)
 
--- a/crankchute/entry/forward_peers.py
+++ b/crankchute/entry/forward_peers.py
@@ -6,13 +6,13 @@
 from crankchute.adapters.peer_records import read_briefing, write_briefing
 from crankchute.adapters.peers_grpc import PeerClient, PeerServer
 from crankchute.core.briefing import Briefing, Impression
-from crankchute.core.limit_desk import LimitDesk
+from crankchute.core.limit_desk import ServerRateLimits
 from crankchute.core.membership import Member
 from crankchute.core.replica import ChangeSet, Entry
 from crankchute.core.sharing import Sharing, SharingParts
 from crankchute.core.suspicion import LEAST_FAILURES
 from crankchute.entry.peering import Peering
-from crankchute.entry.turn_lending import TurnLending
+from crankchute.entry.turn_lending import PermitLending
 
 _MS_PER_SECOND = 1000
 #: How often seeds are asked until another instance is known, at first: a
@@ -133,8 +133,8 @@
     Attributes:
       sharing: The Sharing.
       membership: The Membership.
-      limits: The LimitDesk.
-      lending: The TurnLending.
+      limits: The ServerRateLimits.
+      lending: The PermitLending.
     """
 
     def __init__(self, loop, node, wiring):
@@ -173,14 +173,14 @@
             {_CONFIG: exchange, _SERVERS: servers},
         )
         self.membership = self._peering.membership
-        self.limits = LimitDesk(
+        self.limits = ServerRateLimits(
             loop.timers,
             identity.instance,
             identity.boot,
         )
-        self.lending = TurnLending(node, self)
+        self.lending = PermitLending(node, self)
         self.sharing = Sharing(self._make_parts(node), identity.instance)
-        self.limits.words.subscribe(self.sharing.tell_soon)
+        self.limits.advertised.subscribe(self.sharing.tell_soon)
         self._seeds = []
         self._impressions = []
         self._impressed_ms = float('-inf')
@@ -317,7 +317,7 @@
             drained=node.fleet.drained(),
             gone=node.fleet.gone(),
             impressions=self._list_impressions(),
-            limits=self.limits.words.list_updates(),
+            limits=self.limits.advertised.list_updates(),
             **told,
         )
 
@@ -326,7 +326,7 @@
         self.membership.merge(briefing.active)
         self._take_servers(briefing)
         self._take_impressions(briefing)
-        self.limits.words.merge_updates(briefing.limits)
+        self.limits.advertised.merge_updates(briefing.limits)
         self._fetch(briefing, _CONFIG, briefing.version)
         self._fetch(briefing, _SERVERS, briefing.servers_revision)
         if asked_ms is None:
@@ -334,10 +334,10 @@
         # What was asked for at a moment proves no more than that.
         if briefing.proof_age_ms is not None:
             proved_ms = asked_ms - briefing.proof_age_ms
-            node.holder.prove(briefing.version, proved_ms)
+            node.holder.confirm(briefing.version, proved_ms)
         if briefing.servers_age_ms is not None:
             proved_ms = asked_ms - briefing.servers_age_ms
-            node.servers.prove(briefing.servers_revision, proved_ms)
+            node.servers.confirm(briefing.servers_revision, proved_ms)
 
     def _list_impressions(self):
         now_ms = self._now_ms()
--- a/crankchute/entry/forward_state.py
+++ b/crankchute/entry/forward_state.py
@@ -66,9 +66,9 @@
         'in_flight': backend.in_flight,
         'left_alone': backend.breaker.is_open,
         'rests_for_ms': round(max(backend.paused_until_ms - node.now_ms(), 0)),
-        'limit': node.peers.limits.words.limit_of(backend.identity),
+        'limit': node.peers.limits.advertised.limit_of(backend.identity),
         'next_turn_ms': round(
-            node.peers.limits.turns.wait_ms(backend.identity)
+            node.peers.limits.permits.wait_ms(backend.identity)
         ),
         'wait_ms': round(state.wait_ms(node.now_ms()), 1),
         'writers': state.decode_count,
--- a/crankchute/entry/limited_servers.py
+++ b/crankchute/entry/limited_servers.py
@@ -16,7 +16,7 @@
         self._node = node
         self._reports = reports
 
-    def ask(self, server):
+    def send_probe(self, server):
         """Ask a server, unless it wants nothing at all.
 
         Args:
--- a/crankchute/entry/service_desk.py
+++ b/crankchute/entry/service_desk.py
@@ -117,7 +117,7 @@
             deadline_ms=self._now_ms() + request.remaining_ms,
         )
         if not self._is_mine(key) or self._forwarded >= _MOST_FORWARDED:
-            on_reply(write_end(_unreachable(passed_on=False)))
+            on_reply(write_end(_unreachable(was_dispatched=False)))
             return
         self._forwarded += 1
 
@@ -147,7 +147,7 @@
         member = self._peering.membership.get(key.binding.instance)
         is_known = member is not None and member.boot == key.binding.boot
         if not is_known or self._is_mine(key):
-            on_end(_unreachable(passed_on=False))
+            on_end(_unreachable(was_dispatched=False))
             return
         remaining_ms = call.deadline_ms - self._now_ms()
         request = peer_pb2.ForwardRequest(
@@ -162,7 +162,7 @@
 
         def take(reply):
             if reply is None:
-                on_end(_unreachable(passed_on=True))
+                on_end(_unreachable(was_dispatched=True))
             else:
                 on_end(read_end(reply))
 
@@ -180,7 +180,7 @@
         return (binding.instance, binding.boot) == (own.identity, own.boot)
 
     def _forget(self):
-        self._ledger.forget_expired(self._now_ms())
+        self._ledger.evict_expired(self._now_ms())
 
     def _now_ms(self):
         return self._timers.clock.now_ms()
@@ -199,7 +199,7 @@
         code=end.code,
         text=end.text,
         retry_after_ms=int(end.retry_after_ms or 0),
-        passed_on=end.passed_on,
+        passed_on=end.was_dispatched,
     )
 
 
@@ -216,7 +216,7 @@
         reply.code,
         reply.text,
         retry_after_ms=reply.retry_after_ms or None,
-        passed_on=reply.passed_on,
+        was_dispatched=reply.passed_on,
     )
 
 
@@ -237,17 +237,17 @@
         Outcome.UNKNOWN,
         'key_expired',
         'the key is past its expiry; whether it ever ran is not known',
-        passed_on=False,
+        was_dispatched=False,
     )
     on_end(refusal)
 
 
-def _unreachable(*, passed_on):
+def _unreachable(*, was_dispatched):
     return Refusal(
         Outcome.UNKNOWN,
         'binding_lost',
         'the instance that the key is bound to cannot be asked',
-        passed_on=passed_on,
+        was_dispatched=was_dispatched,
     )
 
 
--- a/crankchute/entry/turn_lending.py
+++ b/crankchute/entry/turn_lending.py
@@ -1,7 +1,11 @@
 """An instance's part in the lending of turns at servers with limits."""
 
 from crankchute.core.forward_fleet import wants_requests
-from crankchute.core.turn_lending import TurnBorrower, TurnOffer, lend_turn
+from crankchute.core.turn_lending import (
+    PermitBorrower,
+    PermitOffer,
+    lend_permit,
+)
 from crankchute.proto import peer_pb2
 
 #: How long an instance may take to answer; a caller waits for it.
@@ -10,7 +14,7 @@
 _MOST_NAMED = 16
 
 
-class TurnLending:
+class PermitLending:
     """Borrows turns of other instances, and lends them to others."""
 
     def __init__(self, node, peers):
@@ -25,7 +29,7 @@
         self._random = node.random
         self._limits = peers.limits
         self._peers = peers
-        self._borrower = TurnBorrower(
+        self._borrower = PermitBorrower(
             node.timers.clock,
             node.random,
             peers.limits,
@@ -52,13 +56,13 @@
             self._ask(lenders, named, on_done)
         return bool(lenders)
 
-    def give_back(self, server):
+    def discard_borrowed(self, server):
         """Forget a turn that was lent and not used.
 
         Args:
           server: The server's id.
         """
-        self._limits.turns.give_back(server)
+        self._limits.permits.discard_borrowed(server)
 
     def answer(self, request, on_reply):
         """Answer an instance that asks for a turn.
@@ -68,7 +72,7 @@
           on_reply: A function of the TurnReply.
         """
         servers = [one for one in request.servers if self._may_lend(one)]
-        offer = lend_turn(self._limits.turns, servers)
+        offer = lend_permit(self._limits.permits, servers)
         on_reply(
             peer_pb2.TurnReply(
                 server=offer.server or '',
@@ -82,7 +86,7 @@
         The asker may not know yet that it leaves.
         """
         backend = self._fleet.get(server)
-        if backend is None or self._limits.words.limit_of(server) is None:
+        if backend is None or self._limits.advertised.limit_of(server) is None:
             return False
         return wants_requests(self._fleet, backend, self._now_ms())
 
@@ -93,7 +97,7 @@
         def take(reply):
             offer = None
             if reply is not None:
-                offer = TurnOffer(reply.server or None, reply.wait_ms)
+                offer = PermitOffer(reply.server or None, reply.wait_ms)
             server = self._borrower.take(lender, offer)
             if server is None and others:
                 self._ask(others, servers, on_done)
--- a/crankchute/entry/turn_lending_test.py
+++ b/crankchute/entry/turn_lending_test.py
@@ -1,12 +1,12 @@
-"""Tests of what an instance lends turns at."""
+"""Tests of what an instance lends permits at."""
 
 import pytest
 
 from crankchute.core.fakes import ManualTimers
 from crankchute.core.forward_fleet import ForwardFleet
 from crankchute.core.forward_fleet_test import POOL, make_listed
-from crankchute.core.limit_desk import LimitDesk
-from crankchute.entry.turn_lending import TurnLending
+from crankchute.core.limit_desk import ServerRateLimits
+from crankchute.entry.turn_lending import PermitLending
 from crankchute.proto import peer_pb2
 
 _WINDOW_MS = 4000
@@ -26,19 +26,19 @@
         self.instance = 'entry-0'
         self.fleet = ForwardFleet(self.timers, POOL)
         self.fleet.put(make_listed('a'))
-        self.limits = LimitDesk(self.timers, self.instance, 'boot')
+        self.limits = ServerRateLimits(self.timers, self.instance, 'boot')
         self.limits.start(
             lambda: [self.instance],
             lambda _one: False,
             lambda _one: None,
         )
         self.timers.advance(_WINDOW_MS)
-        self.limits.words.receive_answer('a', 1, _WINDOW_MS)
+        self.limits.advertised.receive_answer('a', 1, _WINDOW_MS)
 
     def ask(self, *servers):
         """Return where a turn is lent, or an empty string."""
         replies = []
-        lending = TurnLending(self, self)
+        lending = PermitLending(self, self)
         request = peer_pb2.TurnRequest(servers=servers)
         lending.answer(request, replies.append)
         return replies[0].server
@@ -61,12 +61,12 @@
 
 def end_limit(world):
     """Let the server name no limit any more."""
-    world.limits.words.receive_answer('a', None, _WINDOW_MS)
+    world.limits.advertised.receive_answer('a', None, _WINDOW_MS)
 
 
 def use_up(world):
     """Use the turn."""
-    world.limits.turns.note_sent('a')
+    world.limits.permits.note_sent('a')
 
 
 def test_turn_is_lent_once():
--- a/crankchute/platform/forwarding_test.py
+++ b/crankchute/platform/forwarding_test.py
@@ -27,8 +27,8 @@
 from crankchute.core.forward_job import PromptSize, RetryMode
 from crankchute.core.outcomes import Outcome
 from crankchute.core.reservations import ReservationDesk
-from crankchute.core.limit_desk import LimitDesk
-from crankchute.core.return_hints import ReturnHints
+from crankchute.core.limit_desk import ServerRateLimits
+from crankchute.core.return_hints import RetryHints
 from crankchute.core.sliding_budget import RetryLimits
 from crankchute.platform.backend_calls import BackendCalls
 from crankchute.platform.engine_orders import EngineOrders
@@ -81,7 +81,7 @@
             metrics=Metrics(),
             journal=FakeJournal(),
             reservations=reservations,
-            hints=ReturnHints(random.Random(1)),
+            hints=RetryHints(random.Random(1)),
             crashes=CrashHistory(self.loop.timers.clock.now_ms),
             note_moved=self.moved.append,
             find_chooser=lambda _pool: chooser,
@@ -137,11 +137,11 @@
             work_tracker=EngineWorkTracker(timers.clock.now_ms),
             announce_work=lambda _change, _work: None,
             last_peer_message_age_ms=lambda: None,
-            hints=ReturnHints(random.Random(1)),
+            hints=RetryHints(random.Random(1)),
             data_centre='',
             is_connected=lambda _backend: False,
             new_ticket=reservations.new_ticket,
-            turns=LimitDesk(timers, 'entry-0', 'boot').turns,
+            permits=ServerRateLimits(timers, 'entry-0', 'boot').permits,
         )
 
 
--- a/crankchute/platform/node.py
+++ b/crankchute/platform/node.py
@@ -6,8 +6,8 @@
 from crankchute.adapters.http_intake import IntakeLimits
 from crankchute.adapters.operator_pages import OperatorPages
 from crankchute.core.admission import make_key_admission
-from crankchute.core.proof import choose_stale_ms
-from crankchute.core.return_hints import ReturnHints
+from crankchute.core.proof import choose_max_age_ms
+from crankchute.core.return_hints import RetryHints
 from crankchute.core.server_notice import ServerNotices
 from crankchute.core.sliding_budget import RetryLimits
 from crankchute.entry.forward_node import (
@@ -117,7 +117,7 @@
             self.node.holder,
             loop.timers.clock,
             make_key_admission(settings.bounds),
-            ReturnHints(self.node.random),
+            RetryHints(self.node.random),
         )
         self._listen_all(loop)
         self.node.holder.subscribe(self._on_config)
@@ -203,7 +203,7 @@
         return StoreWatch(self, prefix, listener, pace)
 
     def _stale_ms(self):
-        return choose_stale_ms(self.settings.bounds.in_force_ms)
+        return choose_max_age_ms(self.settings.bounds.in_force_ms)
 
     def _is_reader(self):
         return self.node.peers.sharing.is_among_first(_READERS)
--- a/crankchute/platform/published.py
+++ b/crankchute/platform/published.py
@@ -36,7 +36,7 @@
         for entry in entries:
             if entry.key == CONFIG_KEY and entry.payload is not None:
                 self.take(entry.payload)
-        self._holder.prove(self._holder.version, asked_ms)
+        self._holder.confirm(self._holder.version, asked_ms)
 
     def take(self, payload):
         """Take a configuration from the store or from a peer.
@@ -88,7 +88,7 @@
             self._servers.replace_all(found, at)
             self._list_all(found, listed, came_back=came_back)
         if asked_ms is not None:
-            self._servers.prove(self._servers.revision, asked_ms)
+            self._servers.confirm(self._servers.revision, asked_ms)
 
     def on_changes(self, entries, asked_ms):
         """Take the entries that changed."""
@@ -106,7 +106,7 @@
         if found:
             newest = max(entry.revision for entry in found.values())
             self.take(ChangeSet(known, newest, found))
-        self._servers.prove(self._servers.revision, asked_ms)
+        self._servers.confirm(self._servers.revision, asked_ms)
 
     def take(self, changes):
         """Take what changed, from the store or another instance.
--- a/crankchute/platform/requests.py
+++ b/crankchute/platform/requests.py
@@ -68,7 +68,7 @@
           holder: A ForwardConfigHolder.
           clock: A Clock.
           admission: A KeyAdmission.
-          hints: ReturnHints.
+          hints: RetryHints.
         """
         self._holder = holder
         self._clock = clock
--- a/crankchute/platform/requests_test.py
+++ b/crankchute/platform/requests_test.py
@@ -14,7 +14,7 @@
 )
 from crankchute.core.forward_fakes import make_figures
 from crankchute.core.forward_job import RetryMode
-from crankchute.core.return_hints import ReturnHints
+from crankchute.core.return_hints import RetryHints
 from crankchute.core.route_table import PoolShare, Route
 from crankchute.errors import RequestRefused
 from crankchute.platform.requests import RequestReader
@@ -85,13 +85,13 @@
                 1, routes, pools, keys=owners if keys else None
             )
             self.holder.offer(found, b'')
-            self.holder.prove(1, 0)
+            self.holder.confirm(1, 0)
         admission = KeyAdmission(proof_ms)
         self.reader = RequestReader(
             self.holder,
             self.clock,
             admission,
-            ReturnHints(random.Random(1)),
+            RetryHints(random.Random(1)),
         )
 
     def refuse(self, exchange):
