--- a/bench/ablations.py
+++ b/bench/ablations.py
@@ -65,8 +65,8 @@
 _leave_out(
     'sharing of news',
     f'{_CORE}/sharing.py',
-    'self._outbox.append(WorkNews(change, work))',
-    'WorkNews(change, work)',
+    'self._outbox.append(WorkChange(change, work))',
+    'WorkChange(change, work)',
 )
 _leave_out(
     'all work at once',
--- a/bench/capacity_core.py
+++ b/bench/capacity_core.py
@@ -12,7 +12,7 @@
 import orjson
 
 from bench.fake_network import build_network, make_member
-from crankchute.core.addresses import choose_addresses
+from crankchute.core.addresses import choose_instances
 from crankchute.core.config_check import load_config
 from crankchute.core.config_holder import ConfigHolder
 from crankchute.core.dispatcher import Dispatcher, DispatcherPorts
@@ -64,7 +64,7 @@
 
 def _measure_news(network):
     teller = next(iter(network.nodes))
-    network.nodes[teller].announce(draining=True)
+    network.nodes[teller].update_own(draining=True)
     knows_news = partial(_knows_draining, network, teller)
     news = _count_rounds(network, knows_news)
     network.dead.add(teller)
@@ -158,7 +158,7 @@
     members = [make_member(index) for index in range(size)]
     started = time.process_time()
     for number in range(_REPEATS):
-        choose_addresses(members, f'account-{number}', 3, 'dc-0')
+        choose_instances(members, f'account-{number}', 3, 'dc-0')
     spent = time.process_time() - started
     return {
         'nodes': size,
--- a/bench/idle_cost.py
+++ b/bench/idle_cost.py
@@ -23,7 +23,7 @@
 
 import grpc
 
-from crankchute.core.active_choice import Ranking, count_active, digest_members
+from crankchute.core.active_choice import Ranking, count_active, hash_members
 from crankchute.core.membership import Member
 from crankchute.adapters.peer_records import write_member
 from crankchute.platform.standin_store import REVISION, StoreStandin
@@ -119,7 +119,7 @@
         """Answer as an active instance does."""
         self._fleet.asked += 1
         active = self._fleet.active
-        digest = digest_members(active)
+        digest = hash_members(active)
         told = () if request.digest == digest else active
         return peer_pb2.Briefing(
             instance=self._member.identity,
--- a/crankchute/adapters/peer_records.py
+++ b/crankchute/adapters/peer_records.py
@@ -2,10 +2,10 @@
 
 from crankchute.adapters.crash_records import read_crashes, write_crashes
 from crankchute.core.briefing import (
-    Briefing,
-    Impression,
+    PeerMessage,
+    ServerHealth,
     WorkBatch,
-    WorkNews,
+    WorkChange,
 )
 from crankchute.core.engine_board import Change, WorkItem
 from crankchute.core.membership import Member
@@ -44,7 +44,7 @@
             revision=entry.revision,
             payload=entry.payload or b'',
             deleted=entry.payload is None,
-            may_lapse=entry.may_lapse,
+            may_lapse=entry.may_have_expired,
         )
         for key, entry in changes.entries.items()
     ]
@@ -61,55 +61,59 @@
         entry.key: Entry(
             entry.revision,
             None if entry.deleted else entry.payload,
-            may_lapse=entry.may_lapse,
+            may_have_expired=entry.may_lapse,
         )
         for entry in reply.entries
     }
     return ChangeSet(reply.since, reply.revision, entries)
 
 
-def write_briefing(briefing, now_ms):
-    """Return the message of a Briefing.
+def write_message(message, now_ms):
+    """Return the message of a PeerMessage.
 
     Args:
-      briefing: A Briefing.
+      message: A PeerMessage.
       now_ms: The time on this process's clock.
     """
     return peer_pb2.Briefing(
-        instance=briefing.instance,
-        boot=briefing.boot,
-        is_serving=briefing.is_serving,
-        version=briefing.version,
-        proof_age_ms=_write_age(briefing.proof_age_ms),
-        servers_revision=briefing.servers_revision,
-        servers_age_ms=_write_age(briefing.servers_age_ms),
-        active=[write_member(one) for one in briefing.active],
-        digest=briefing.digest,
-        drained=briefing.drained,
-        gone=briefing.gone,
+        instance=message.instance,
+        boot=message.boot,
+        is_serving=message.is_serving,
+        version=message.version,
+        proof_age_ms=_write_age(message.proof_age_ms),
+        servers_revision=message.servers_revision,
+        servers_age_ms=_write_age(message.servers_age_ms),
+        active=[write_member(one) for one in message.active],
+        digest=message.digest,
+        drained=message.draining_servers,
+        gone=message.removed_servers,
         news=[
-            _write_news(one, now_ms, is_whole=briefing.batch.is_whole)
-            for one in briefing.batch.news
+            _write_work_change(
+                one, now_ms, is_snapshot=message.batch.is_snapshot
+            )
+            for one in message.batch.changes
         ],
-        batch=briefing.batch.number,
-        is_whole=briefing.batch.is_whole,
-        wants_work=briefing.wants_work,
-        lacks_work=briefing.lacks_work,
-        impressions=[_write_impression(one) for one in briefing.impressions],
-        limits=[_write_limit(one, now_ms) for one in briefing.limits],
-        crash_digest=briefing.crash_digest,
-        crashes=write_crashes(briefing.crashes, now_ms),
+        batch=message.batch.number,
+        is_whole=message.batch.is_snapshot,
+        wants_work=message.subscribes_to_work,
+        lacks_work=message.needs_snapshot,
+        impressions=[
+            _write_server_health(one) for one in message.server_health
+        ],
+        limits=[_write_limit(one, now_ms) for one in message.limits],
+        crash_digest=message.crash_digest,
+        crashes=write_crashes(message.crashes, now_ms),
     )
 
 
-def read_briefing(record, now_ms):
-    """Return the Briefing of a message.
+def read_message(record, now_ms):
+    """Return the PeerMessage of a message.
 
     Args:
       record: The message.
       now_ms: The time on this process's clock.
     """
-    return Briefing(
+    return PeerMessage(
         instance=record.instance,
         boot=record.boot,
         is_serving=record.is_serving,
@@ -119,17 +123,17 @@
         servers_age_ms=_read_age(record.servers_age_ms),
         active=[read_member(one) for one in record.active],
         digest=record.digest,
-        drained=list(record.drained),
-        gone=list(record.gone),
+        draining_servers=list(record.drained),
+        removed_servers=list(record.gone),
         batch=WorkBatch(
             record.batch,
-            [_read_news(one, now_ms) for one in record.news],
-            is_whole=record.is_whole,
+            [_read_work_change(one, now_ms) for one in record.news],
+            is_snapshot=record.is_whole,
         ),
-        wants_work=record.wants_work,
-        lacks_work=record.lacks_work,
-        impressions=[
-            _read_impression(one, now_ms) for one in record.impressions
+        subscribes_to_work=record.wants_work,
+        needs_snapshot=record.lacks_work,
+        server_health=[
+            _read_server_health(one, now_ms) for one in record.impressions
         ],
         limits=[_read_limit(one, now_ms) for one in record.limits],
         crash_digest=record.crash_digest,
@@ -145,17 +149,17 @@
     return None if age_ms < 0 else age_ms
 
 
-def _write_impression(impression):
+def _write_server_health(health):
     return peer_pb2.Impression(
-        server=impression.server,
-        failures=impression.signs.failures,
-        successes=impression.signs.successes,
+        server=health.server,
+        failures=health.signs.failures,
+        successes=health.signs.successes,
     )
 
 
-def _read_impression(record, now_ms):
+def _read_server_health(record, now_ms):
     signs = OutcomeCounts(record.failures, record.successes, now_ms)
-    return Impression(record.server, signs)
+    return ServerHealth(record.server, signs)
 
 
 def _write_limit(word, now_ms):
@@ -176,21 +180,21 @@
     )
 
 
-def _write_news(news, now_ms, *, is_whole):
-    """Return the message of a WorkNews.
+def _write_work_change(change, now_ms, *, is_snapshot):
+    """Return the message of a WorkChange.
 
     What began or ended is known by its key to whoever was told that it was
     sent, so only the sending, and a batch of all work, tell the rest.
     """
-    work = news.work
-    if news.change != Change.SENT and not is_whole:
+    work = change.work
+    if change.change != Change.SENT and not is_snapshot:
         return peer_pb2.WorkNews(
-            change=int(news.change),
+            change=int(change.change),
             key=work.key,
             engine=work.engine,
         )
     return peer_pb2.WorkNews(
-        change=int(news.change),
+        change=int(change.change),
         key=work.key,
         engine=work.engine,
         read_ms=work.prefill_ms,
@@ -205,7 +209,7 @@
     )
 
 
-def _read_news(record, now_ms):
+def _read_work_change(record, now_ms):
     work = WorkItem(
         record.key,
         record.engine,
@@ -219,4 +223,4 @@
         first_event_at_ms=now_ms + record.first_in_ms,
         is_prioritized=record.goes_first,
     )
-    return WorkNews(Change(record.change), work)
+    return WorkChange(Change(record.change), work)
--- a/crankchute/adapters/peer_records_test.py
+++ b/crankchute/adapters/peer_records_test.py
@@ -3,12 +3,12 @@
 import pytest
 
 from crankchute.adapters.peer_records import (
-    read_briefing,
+    read_message,
     read_member,
-    write_briefing,
+    write_message,
     write_member,
 )
-from crankchute.core.briefing import Briefing, WorkBatch, WorkNews
+from crankchute.core.briefing import PeerMessage, WorkBatch, WorkChange
 from crankchute.core.crash_news import (
     ClearedRequest,
     Crash,
@@ -28,33 +28,33 @@
 THEIR_MS = 7_000
 
 
-def make_briefing(news, *, is_whole=False):
-    fields = dict.fromkeys(Briefing.__slots__, 0)
+def make_message(news, *, is_snapshot=False):
+    fields = dict.fromkeys(PeerMessage.__slots__, 0)
     fields.update(
         instance=TELLER,
         boot='boot',
-        drained=[],
-        gone=[],
-        impressions=[],
+        draining_servers=[],
+        removed_servers=[],
+        server_health=[],
         limits=[
             AdvertisedLimit('i-1', 2.5, OWN_MS - 300, 'entry-0-1'),
             AdvertisedLimit('i-2', 0, OWN_MS, 'entry-0-2'),
             AdvertisedLimit('i-3', None, OWN_MS - 900, 'entry-1-1'),
         ],
         active=[Member('a', 'b', 3, strength=516, data_centre='z')],
-        batch=WorkBatch(4, news, is_whole=is_whole),
+        batch=WorkBatch(4, news, is_snapshot=is_snapshot),
         proof_age_ms=None,
         servers_age_ms=250,
         servers_revision=77,
         crashes=None,
     )
-    return Briefing(**fields)
+    return PeerMessage(**fields)
 
 
-def pass_on(briefing):
-    record = write_briefing(briefing, OWN_MS)
+def pass_on(message):
+    record = write_message(message, OWN_MS)
     payload = record.SerializeToString()
-    return read_briefing(peer_pb2.Briefing.FromString(payload), THEIR_MS)
+    return read_message(peer_pb2.Briefing.FromString(payload), THEIR_MS)
 
 
 def make_sent(**changes):
@@ -67,7 +67,7 @@
 
 
 def test_ages_revisions_and_members_arrive():
-    heard = pass_on(make_briefing([]))
+    heard = pass_on(make_message([]))
     assert heard.proof_age_ms is None
     assert heard.servers_age_ms == pytest.approx(250)
     assert heard.servers_revision == 77
@@ -75,8 +75,8 @@
 
 
 def test_times_arrive_on_the_clock_of_the_receiver():
-    news = [WorkNews(Change.SENT, make_sent())]
-    work = pass_on(make_briefing(news)).batch.news[0].work
+    news = [WorkChange(Change.SENT, make_sent())]
+    work = pass_on(make_message(news)).batch.changes[0].work
     assert work.until_ms == pytest.approx(THEIR_MS + 900)
     assert work.due_ms == pytest.approx(THEIR_MS + 300)
     assert work.first_event_at_ms == pytest.approx(THEIR_MS + 40)
@@ -93,8 +93,8 @@
 def test_board_of_the_receiver_is_that_of_the_teller(changes, known, started):
     work_tracker = EngineWorkTracker(lambda: THEIR_MS)
     for change in changes:
-        news = [WorkNews(change, make_sent(memory=500))]
-        apply_batch(work_tracker, TELLER, pass_on(make_briefing(news)).batch)
+        news = [WorkChange(change, make_sent(memory=500))]
+        apply_batch(work_tracker, TELLER, pass_on(make_message(news)).batch)
     state = work_tracker.state('engine')
     assert set(state.works) == known
     assert state.memory == 500 * len(known)
@@ -103,9 +103,9 @@
 
 
 def test_all_work_tells_everything_of_what_began():
-    news = [WorkNews(Change.STARTED, make_sent(memory=500))]
+    news = [WorkChange(Change.STARTED, make_sent(memory=500))]
     work_tracker = EngineWorkTracker(lambda: THEIR_MS)
-    batch = pass_on(make_briefing(news, is_whole=True)).batch
+    batch = pass_on(make_message(news, is_snapshot=True)).batch
     apply_batch(work_tracker, TELLER, batch)
     state = work_tracker.state('engine')
     assert state.memory == 500
@@ -113,10 +113,10 @@
 
 
 def test_news_of_what_ended_are_small():
-    ended = make_briefing([WorkNews(Change.ENDED, make_sent())])
-    sent = make_briefing([WorkNews(Change.SENT, make_sent())])
+    ended = make_message([WorkChange(Change.ENDED, make_sent())])
+    sent = make_message([WorkChange(Change.SENT, make_sent())])
     sizes = [
-        write_briefing(one, OWN_MS).news[0].ByteSize() for one in (ended, sent)
+        write_message(one, OWN_MS).news[0].ByteSize() for one in (ended, sent)
     ]
     assert sizes[0] * 3 < sizes[1]
 
@@ -129,15 +129,15 @@
 
 
 def test_crashes_arrive_on_the_clock_of_the_receiver():
-    briefing = make_briefing([])
-    briefing.crash_digest = 2**64 - 1
-    briefing.crashes = CrashReport(
+    message = make_message([])
+    message.crash_digest = 2**64 - 1
+    message.crashes = CrashReport(
         [Crash('s1', OWN_MS - 900, {1, 2**64 - 1}, {1: OWN_MS - 950})],
         [QuarantinedRequest(3, OWN_MS - 800, OWN_MS - 20)],
         [ClearedRequest(4, OWN_MS - 700)],
     )
-    heard = pass_on(briefing)
-    assert heard.crash_digest == briefing.crash_digest
+    heard = pass_on(message)
+    assert heard.crash_digest == message.crash_digest
     crash, held, cleared = (
         heard.crashes.crashes[0],
         heard.crashes.quarantined[0],
@@ -152,13 +152,13 @@
 
 
 def test_crashes_that_the_receiver_remembers_are_not_told():
-    assert pass_on(make_briefing([])).crashes is None
+    assert pass_on(make_message([])).crashes is None
 
 
 def test_words_about_limits_arrive_with_their_age():
     told = [
         (one.server, one.limit, THEIR_MS - one.at_ms, one.source)
-        for one in pass_on(make_briefing([])).limits
+        for one in pass_on(make_message([])).limits
     ]
     assert told == [
         ('i-1', 2.5, 300, 'entry-0-1'),
--- a/crankchute/core/active_choice.py
+++ b/crankchute/core/active_choice.py
@@ -24,7 +24,7 @@
     return min(known, wanted)
 
 
-def digest_members(members):
+def hash_members(members):
     """Return a hash that identifies an ordered list of members.
 
     Args:
@@ -47,7 +47,7 @@
     local = [one for one in members if one.data_centre == own.data_centre]
     return min(
         local or members,
-        key=lambda one: digest_members((one, own)),
+        key=lambda one: hash_members((one, own)),
         default=None,
     )
 
--- a/crankchute/core/active_instances.py
+++ b/crankchute/core/active_instances.py
@@ -12,7 +12,7 @@
     Ranking,
     choose_home,
     count_active,
-    digest_members,
+    hash_members,
 )
 from crankchute.core.peer_view import PeerView
 
@@ -48,7 +48,7 @@
         """Create a view without any known instance.
 
         Args:
-          parts: A SharingParts.
+          parts: A PeerExchangeParts.
           own: This instance's id.
         """
         self._parts = parts
@@ -75,7 +75,7 @@
     @property
     def digest(self):
         """A hash that identifies the list of active instances."""
-        return digest_members(self.chosen)
+        return hash_members(self.chosen)
 
     def view(self, identity):
         """Return the PeerView of an instance, created on first use.
@@ -105,7 +105,7 @@
         if not self.is_own_active:
             self.chosen = self._list_reported() or own_choice
 
-    def record_active_list(self, briefing, *, is_answer):
+    def record_active_list(self, message, *, is_answer):
         """Process the list of active instances that a peer reported.
 
         Only a report from an active instance renews the list.  Other instances
@@ -114,37 +114,37 @@
         from which the next home is chosen.
 
         Args:
-          briefing: A Briefing.
+          message: A PeerMessage.
           is_answer: Whether it answers a request of this instance.
         """
         reported = self._reported
-        if briefing.active:
-            known = (self._parts.get(one.identity) for one in briefing.active)
+        if message.active:
+            known = (self._parts.get(one.identity) for one in message.active)
             reported = [one for one in known if one is not None]
-        elif briefing.digest == self.digest:
+        elif message.digest == self.digest:
             reported = self.chosen
-        is_active = any(one.identity == briefing.instance for one in reported)
+        is_active = any(one.identity == message.instance for one in reported)
         if self._own in {one.identity for one in reported}:
             # An instance that is listed itself trusts only peers of its own
             # choice.  Otherwise a few instances that learnt of each other
             # first would confirm each other as active indefinitely.
-            is_active = is_active and briefing.instance in self._own_choice
-        if is_active or (is_answer and briefing.active):
+            is_active = is_active and message.instance in self._own_choice
+        if is_active or (is_answer and message.active):
             self._reported = tuple(reported)
         if is_active:
             self._vouch_for_reported()
 
-    def record_subscription(self, briefing):
+    def record_subscription(self, message):
         """Record whether a peer subscribes to this instance's work.
 
         Args:
-          briefing: A Briefing.
+          message: A PeerMessage.
         """
         now_ms = self._now_ms()
-        view = self.view(briefing.instance)
-        view.feed.record_subscription(briefing, now_ms)
-        if briefing.wants_work:
-            self._subscribers[briefing.instance] = view
+        view = self.view(message.instance)
+        view.feed.record_subscription(message, now_ms)
+        if message.subscribes_to_work:
+            self._subscribers[message.instance] = view
 
     def find_home(self):
         """Return the active Member that this instance polls, or None."""
@@ -164,7 +164,7 @@
             one for one in self._reported if one.identity != member.identity
         )
 
-    def pace_ms(self):
+    def exchange_interval_ms(self):
         """Return the interval between messages to each active instance."""
         return EXCHANGE_INTERVAL_MS * max(
             1,
@@ -241,7 +241,7 @@
     def _silence_timeout_ms(self):
         return max(
             _SILENCE_TIMEOUT_MS,
-            _SILENCE_TIMEOUT_INTERVALS * self.pace_ms(),
+            _SILENCE_TIMEOUT_INTERVALS * self.exchange_interval_ms(),
         )
 
     def _is_healthy(self, member):
--- a/crankchute/core/addresses.py
+++ b/crankchute/core/addresses.py
@@ -12,7 +12,7 @@
 _READER_KEY = 'reader'
 
 
-def choose_addresses(members, account, width, data_centre):
+def choose_instances(members, account, width, data_centre):
     """Return the instances that a client account should use.
 
     Args:
@@ -32,7 +32,7 @@
     )
 
 
-def list_sharers(members, account, width):
+def list_limit_sharers(members, account, width):
     """Return the instances that share the limits of a client account.
 
     Args:
@@ -42,10 +42,10 @@
     Returns:
       A list of at most `width` Members.
     """
-    return choose_addresses(members, account, width, '')
+    return choose_instances(members, account, width, '')
 
 
-def is_reader(members, own):
+def is_platform_reader(members, own):
     """Tell whether an instance reads the platform for its data centre.
 
     Args:
--- a/crankchute/core/briefing.py
+++ b/crankchute/core/briefing.py
@@ -1,7 +1,7 @@
 """Data classes for the messages between instances."""
 
 
-class WorkNews:
+class WorkChange:
     """A state change of a WorkItem."""
 
     __slots__ = ('change', 'work')
@@ -23,27 +23,27 @@
     Attributes:
       number: A sequence number per peer, from 1; a batch without changes
         repeats the number of the previous one.
-      is_whole: Whether this is a snapshot of all work of the sender, which
+      is_snapshot: Whether this is a snapshot of all work of the sender, which
         replaces what was sent before, a bool.
-      news: A list of WorkNews.
+      changes: A list of WorkChange.
     """
 
-    __slots__ = ('is_whole', 'news', 'number')
+    __slots__ = ('changes', 'is_snapshot', 'number')
 
-    def __init__(self, number, news, *, is_whole=False):
+    def __init__(self, number, changes, *, is_snapshot=False):
         """Create the batch.
 
         Args:
           number: An int.
-          news: A list of WorkNews.
-          is_whole: A bool.
+          changes: A list of WorkChange.
+          is_snapshot: A bool.
         """
         self.number = number
-        self.news = news
-        self.is_whole = is_whole
+        self.changes = changes
+        self.is_snapshot = is_snapshot
 
 
-class Impression:
+class ServerHealth:
     """The health of a backend server, from one instance's own requests.
 
     Attributes:
@@ -64,7 +64,7 @@
         self.signs = signs
 
 
-class Briefing:
+class PeerMessage:
     """The state that an instance sends to a peer.
 
     Attributes:
@@ -81,13 +81,15 @@
       active: The Members that the sender considers active; empty if the
         receiver last reported the same digest.
       digest: A hash that identifies the sender's list of active instances.
-      drained: Ids of backend servers that are draining.
-      gone: Ids of backend servers whose entries were recently deleted.
-      impressions: A list of Impression, for servers that seem unhealthy.
+      draining_servers: Ids of backend servers that are draining.
+      removed_servers: Ids of backend servers whose entries were recently
+        deleted.
+      server_health: A list of ServerHealth, for servers that seem unhealthy.
       limits: AdvertisedLimit records, for servers that recently announced or
         withdrew a limit.
-      wants_work: Whether the sender subscribes to the receiver's work, a bool.
-      lacks_work: Whether the sender needs a snapshot of it, a bool.
+      subscribes_to_work: Whether the sender subscribes to the receiver's work,
+        a bool.
+      needs_snapshot: Whether the sender needs a snapshot of it, a bool.
       batch: A WorkBatch.
       crash_digest: A hash that identifies the crashes that the sender
         remembers.
@@ -102,18 +104,18 @@
         'crash_digest',
         'crashes',
         'digest',
-        'drained',
-        'gone',
-        'impressions',
+        'draining_servers',
+        'removed_servers',
+        'server_health',
         'instance',
         'is_serving',
-        'lacks_work',
+        'needs_snapshot',
         'limits',
         'proof_age_ms',
         'servers_age_ms',
         'servers_revision',
         'version',
-        'wants_work',
+        'subscribes_to_work',
     )
 
     def __init__(self, **fields):
--- a/crankchute/core/config_holder.py
+++ b/crankchute/core/config_holder.py
@@ -88,7 +88,7 @@
         except StaleRevisionError:
             return False
         if is_newest:
-            self._seen = base.advanced(changes)
+            self._seen = base.with_changes(changes)
         try:
             config = load_config(
                 changes.revision,
@@ -98,7 +98,7 @@
         except ConfigError as exc:
             self._record_refusal(changes.revision, exc.findings)
             return is_newest
-        self._activate(config, base.advanced(changes))
+        self._activate(config, base.with_changes(changes))
         return True
 
     def _record_refusal(self, revision, findings):
--- a/crankchute/core/engine_board.py
+++ b/crankchute/core/engine_board.py
@@ -362,32 +362,32 @@
             if work.origin == origin
         ]
 
-    def note(self, news):
+    def note(self, update):
         """Apply an update of another instance.
 
         Args:
-          news: A WorkNews.
+          update: A WorkChange.
         """
-        work = news.work
-        if news.change == Change.SENT:
+        work = update.work
+        if update.change == Change.SENT:
             self.add(work)
-        elif news.change == Change.STARTED:
+        elif update.change == Change.STARTED:
             self.start(work.engine, work.key)
         else:
             self.end(work.engine, work.key)
 
-    def replace(self, origin, news):
+    def replace(self, origin, changes):
         """Replace all work of another instance.
 
         Args:
           origin: The instance's id.
-          news: A list of WorkNews; works missing from it have ended.
+          changes: A list of WorkChange; works missing from it have ended.
         """
-        current_keys = {update.work.key for update in news}
+        current_keys = {update.work.key for update in changes}
         for work in self.list_work_of(origin):
             if work.key not in current_keys:
                 self.end(work.engine, work.key)
-        for update in news:
+        for update in changes:
             self.add(update.work)
             if update.change == Change.STARTED:
                 self.start(update.work.engine, update.work.key)
--- a/crankchute/core/forward_fleet.py
+++ b/crankchute/core/forward_fleet.py
@@ -152,7 +152,7 @@
         if latest.born is not None and listed.born is None:
             # A server that publishes its start time always does, so this entry
             # is of another server.
-            self.remove(listed.listed_id, may_lapse=False)
+            self.remove(listed.listed_id, may_have_expired=False)
         elif not listed.is_older(latest):
             self._put_latest(listed)
             if latest.identity != listed.identity:
@@ -176,13 +176,13 @@
         self.put(reported)
         return self._backends.get(reported.identity)
 
-    def remove(self, listed_id, *, may_lapse):
+    def remove(self, listed_id, *, may_have_expired):
         """Remove a server whose entry was deleted or expired.
 
         Args:
           listed_id: The id under which the server was listed.
-          may_lapse: Whether the entry may have expired only because the store
-            was unavailable.
+          may_have_expired: Whether the entry may have expired only because the
+            store was unavailable.
         Returns:
           The identity of the server that was listed, or None.
         """
@@ -190,7 +190,7 @@
         if latest is None or latest.identity not in self._backends:
             return None
         identity = latest.identity
-        if may_lapse and identity not in self._drained_at_ms:
+        if may_have_expired and identity not in self._drained_at_ms:
             if identity not in self._lapse_timers:
                 self._lapse_timers[identity] = self._timers.after(
                     _LAPSE_GRACE_MS,
@@ -201,7 +201,7 @@
             self._drop(identity)
         return identity
 
-    def replace(self, listed, *, may_lapse, may_be_old=False):
+    def replace(self, listed, *, may_have_expired, may_be_old=False):
         """Replace all entries.
 
         A store restored from an older copy lists servers that have left since.
@@ -210,7 +210,7 @@
 
         Args:
           listed: A list of ListedServer.
-          may_lapse: See remove().
+          may_have_expired: See remove().
           may_be_old: Whether the list may be older than the current one.
         """
         if may_be_old:
@@ -225,7 +225,9 @@
             self.put(record)
         for backend in tuple(self._backends.values()):
             if backend.listed.listed_id not in present:
-                self.remove(backend.listed.listed_id, may_lapse=may_lapse)
+                self.remove(
+                    backend.listed.listed_id, may_have_expired=may_have_expired
+                )
 
     def note_drained(self, identity):
         """Record that a server drains; it gets no new requests from now on.
--- a/crankchute/core/forward_fleet_test.py
+++ b/crankchute/core/forward_fleet_test.py
@@ -31,7 +31,7 @@
         self.fleet = ForwardFleet(self.timers, 'pool')
         self.fleet.replace(
             [make_listed('a'), make_listed('b')],
-            may_lapse=False,
+            may_have_expired=False,
         )
 
     def members(self):
@@ -59,18 +59,20 @@
     assert world.fleet.list_drained() == ['a']
 
 
-@pytest.mark.parametrize('may_lapse', [False, True])
+@pytest.mark.parametrize('may_have_expired', [False, True])
 @pytest.mark.parametrize(
     'leave',
     [
-        lambda fleet, lapse: fleet.remove('a', may_lapse=lapse),
-        lambda fleet, lapse: fleet.replace([make_listed('b')], may_lapse=lapse),
+        lambda fleet, lapse: fleet.remove('a', may_have_expired=lapse),
+        lambda fleet, lapse: fleet.replace(
+            [make_listed('b')], may_have_expired=lapse
+        ),
     ],
 )
-def test_server_returns_with_its_entry(leave, may_lapse):
+def test_server_returns_with_its_entry(leave, may_have_expired):
     """Entries expire while the store is unavailable; most servers still run."""
     world = World()
-    leave(world.fleet, may_lapse)
+    leave(world.fleet, may_have_expired)
     world.timers.advance(2000)
     assert world.members() == {'b'}
     assert world.fleet.gone() == ['a']
@@ -110,7 +112,7 @@
 
 def test_lapsed_entry_is_kept_for_a_grace_period():
     world = World()
-    world.fleet.remove('a', may_lapse=True)
+    world.fleet.remove('a', may_have_expired=True)
     assert world.members() == {'a', 'b'}
     world.timers.advance(3000)
     assert world.members() == {'b'}
@@ -118,7 +120,7 @@
 
 def test_lapsed_entry_that_returns_stays():
     world = World()
-    world.fleet.remove('a', may_lapse=True)
+    world.fleet.remove('a', may_have_expired=True)
     world.timers.advance(500)
     world.fleet.put(make_listed('a'))
     world.timers.advance(3000)
@@ -128,7 +130,7 @@
 def test_draining_server_does_not_lapse():
     world = World()
     world.fleet.put(make_listed('a', LEAVING))
-    world.fleet.remove('a', may_lapse=True)
+    world.fleet.remove('a', may_have_expired=True)
     assert world.fleet.get('a') is None
 
 
@@ -186,7 +188,7 @@
         lambda fleet: fleet.put(make_listed('a', born=100)),
         lambda fleet: fleet.put(make_listed('a', LEAVING, born=100)),
         lambda fleet: fleet.replace(
-            [make_listed('a', LEAVING, born=100)], may_lapse=False
+            [make_listed('a', LEAVING, born=100)], may_have_expired=False
         ),
         lambda fleet: fleet.note_drained('a@100'),
         lambda fleet: fleet.note_gone('a@100'),
@@ -209,11 +211,11 @@
 
 def test_removal_applies_to_the_latest_start():
     world = RestartWorld()
-    world.fleet.remove('a', may_lapse=True)
+    world.fleet.remove('a', may_have_expired=True)
     world.fleet.put(make_listed('a', born=200))
     world.timers.advance(2000)
     assert world.members() == ['a@200']
-    world.fleet.remove('a', may_lapse=False)
+    world.fleet.remove('a', may_have_expired=False)
     assert world.members() == []
     # A late entry of the earlier start is still ignored.
     world.fleet.put(make_listed('a', born=100))
--- a/crankchute/core/membership.py
+++ b/crankchute/core/membership.py
@@ -155,7 +155,7 @@
         """Return the Member with an id, or None."""
         return self._members.get(identity)
 
-    def believed_alive(self):
+    def live_members(self):
         """Return the members not known to be dead, including this node.
 
         The list is cached between changes; the caller must not modify it.
@@ -181,7 +181,7 @@
         """
         self._listeners.append(listener)
 
-    def announce(self, **changes):
+    def update_own(self, **changes):
         """Publish changes of this node's own record.
 
         Args:
@@ -255,7 +255,7 @@
         """
         others = [
             member
-            for member in self.believed_alive()
+            for member in self.live_members()
             if member.identity != self._own.identity
         ]
         count = min(count, len(others))
@@ -298,7 +298,7 @@
                 return member
         self._targets = [
             member.identity
-            for member in self.believed_alive()
+            for member in self.live_members()
             if member.identity != self._own.identity
         ]
         self._ports.random.shuffle(self._targets)
--- a/crankchute/core/membership_test.py
+++ b/crankchute/core/membership_test.py
@@ -14,7 +14,7 @@
 @pytest.mark.parametrize('size', [3, 12, 40])
 def test_update_reaches_all_members(size):
     network = build_network(size)
-    network.nodes['entry-0000'].announce(draining=True)
+    network.nodes['entry-0000'].update_own(draining=True)
     _run_rounds(network, 12)
     records = [node.get('entry-0000') for node in network.nodes.values()]
     assert all(member.draining for member in records)
@@ -50,9 +50,7 @@
     assert len(network.nodes[names[0]]) == 4
     network.cut = None
     _run_rounds(network, 40)
-    assert all(
-        len(node.believed_alive()) == 8 for node in network.nodes.values()
-    )
+    assert all(len(node.live_members()) == 8 for node in network.nodes.values())
 
 
 def test_record_of_restarted_process_replaces_previous_one():
@@ -73,7 +71,7 @@
 def test_number_of_updates_per_message_is_bounded():
     network = build_network(60)
     for node in network.nodes.values():
-        node.announce(draining=True)
+        node.update_own(draining=True)
     node = network.nodes['entry-0000']
     _run_rounds(network, 2)
     assert len(node.collect_updates()) <= 13
--- a/crankchute/core/placing_test.py
+++ b/crankchute/core/placing_test.py
@@ -5,9 +5,9 @@
 import pytest
 
 from crankchute.core.addresses import (
-    choose_addresses,
+    choose_instances,
     choose_owner,
-    is_reader,
+    is_platform_reader,
 )
 from crankchute.core.breaker import Breaker
 from crankchute.core.candidates import list_candidates
@@ -254,13 +254,13 @@
 def test_addresses_are_few_local_first_and_stable():
     """Losing an instance affects only the accounts that used it."""
     members = _members(12)
-    before = choose_addresses(members, 'acc', 3, 'dc-1')
+    before = choose_instances(members, 'acc', 3, 'dc-1')
     assert len(before) == 3
     is_local = [member.data_centre == 'dc-1' for member in before]
     assert is_local == sorted(is_local, reverse=True)
     others = [other for other in members if other not in before]
     survivors = [other for other in members if other is not others[0]]
-    assert choose_addresses(survivors, 'acc', 3, 'dc-1') == before
+    assert choose_instances(survivors, 'acc', 3, 'dc-1') == before
 
 
 def test_draining_and_dead_instances_are_not_returned():
@@ -268,16 +268,20 @@
     members = _members(2)
     members[0].draining = True
     members[1].status = Status.DEAD
-    assert not choose_addresses(members, 'acc', 3, 'dc-1')
+    assert not choose_instances(members, 'acc', 3, 'dc-1')
 
 
 def test_two_readers_in_each_data_centre():
     """Another instance takes over when a reader loses the platform."""
     members = _members(12)
-    readers = [member for member in members if is_reader(members, member)]
+    readers = [
+        member for member in members if is_platform_reader(members, member)
+    ]
     assert len(readers) == 6
     readers[0].reads_platform = False
-    changed = [member for member in members if is_reader(members, member)]
+    changed = [
+        member for member in members if is_platform_reader(members, member)
+    ]
     assert len(changed) == 6
     assert readers[0] not in changed
 
--- a/crankchute/core/replica.py
+++ b/crankchute/core/replica.py
@@ -11,20 +11,20 @@
 class Entry:
     """The published value of a key; a payload of None marks a deletion."""
 
-    __slots__ = ('may_lapse', 'payload', 'revision')
+    __slots__ = ('may_have_expired', 'payload', 'revision')
 
-    def __init__(self, revision, payload, *, may_lapse=False):
+    def __init__(self, revision, payload, *, may_have_expired=False):
         """Create an entry.
 
         Args:
           revision: The platform's revision at which the entry last changed.
           payload: Bytes, or None if the key was deleted.
-          may_lapse: Whether the entry may have expired rather than been deleted
-            on purpose, because the platform was faulty at the time.
+          may_have_expired: Whether the entry may have expired rather than been
+            deleted on purpose, because the platform was faulty at the time.
         """
         self.revision = revision
         self.payload = payload
-        self.may_lapse = may_lapse
+        self.may_have_expired = may_have_expired
 
 
 class ChangeSet:
@@ -102,7 +102,7 @@
             if entry.payload is not None
         }
 
-    def advanced(self, changes):
+    def with_changes(self, changes):
         """Return the replica that results from a change set.
 
         Args:
--- a/crankchute/core/server_list.py
+++ b/crankchute/core/server_list.py
@@ -61,7 +61,7 @@
           changes: A ChangeSet that starts no later than this list.
         """
         if changes.revision > self.revision:
-            self._replica = self._replica.advanced(changes)
+            self._replica = self._replica.with_changes(changes)
             # The scan of all entries is slow for long lists, so it runs only
             # after a deletion.
             if any(one.payload is None for one in changes.entries.values()):
--- a/crankchute/core/server_rests_test.py
+++ b/crankchute/core/server_rests_test.py
@@ -58,7 +58,7 @@
     world = World()
     before = world.backend
     world.request_pause(3000)
-    world.fleet.remove('a', may_lapse=False)
+    world.fleet.remove('a', may_have_expired=False)
     world.timers.advance(100)
     world.request_pause(9000, before)
     world.fleet.put(make_listed('a'))
@@ -73,7 +73,7 @@
     """
     world = World()
     world.backend.pause_until(3000)
-    world.fleet.remove('a', may_lapse=False)
+    world.fleet.remove('a', may_have_expired=False)
     world.timers.advance(100)
     world.fleet.put(make_listed('a'))
     assert world.backend.paused_until_ms == 3000
--- a/crankchute/core/sharing.py
+++ b/crankchute/core/sharing.py
@@ -24,7 +24,7 @@
     HOME_POLL_INTERVAL_MS,
     ActiveInstances,
 )
-from crankchute.core.briefing import WorkNews
+from crankchute.core.briefing import WorkChange
 from crankchute.core.work_feed import apply_batch
 
 #: Changes are collected for this long and sent together.
@@ -44,7 +44,7 @@
 _MAX_FOLLOWERS = 9
 
 
-class Sharing:
+class PeerExchange:
     """The exchange of state between one instance and its peers.
 
     Attributes:
@@ -55,7 +55,7 @@
         """Create the exchange; start() begins it.
 
         Args:
-          parts: A SharingParts.
+          parts: A PeerExchangeParts.
           own: This instance's id.
         """
         self._parts = parts
@@ -84,9 +84,9 @@
     def start(self):
         """Start exchanging messages with the active instances."""
         self._parts.timers.every(EXCHANGE_INTERVAL_MS, self._on_interval)
-        self._parts.crashes.subscribe(self.tell_soon)
+        self._parts.crashes.subscribe(self.schedule_send)
 
-    def note(self, change, work):
+    def report_work(self, change, work):
         """Queue a change of this instance's work for the peers.
 
         Args:
@@ -94,10 +94,10 @@
           work: A WorkItem.
         """
         self._last_choice_ms = self._now_ms()
-        self._outbox.append(WorkNews(change, work))
-        self.tell_soon()
+        self._outbox.append(WorkChange(change, work))
+        self.schedule_send()
 
-    def tell_soon(self):
+    def schedule_send(self):
         """Schedule a message to all recipients after the flush delay."""
         if self._flush_timer is None:
             crowding = max(
@@ -109,47 +109,47 @@
                 self._on_flush,
             )
 
-    def tell_now(self):
+    def send_now(self):
         """Send this instance's state to all recipients immediately."""
         self.instances.choose()
         for member in self._recipients():
             self._send(member, [])
 
-    def hear(self, briefing, asked_ms=None):
+    def receive(self, message, asked_ms=None):
         """Process a message from another instance.
 
         Args:
-          briefing: A Briefing.
+          message: A PeerMessage.
           asked_ms: When it was requested, or None if it was not: then its
             transit time is unknown.
         """
         now_ms = self._now_ms()
-        view = self.instances.view(briefing.instance)
+        view = self.instances.view(message.instance)
         view.last_received_ms = now_ms
-        view.is_serving = briefing.is_serving
-        view.proof_age_ms = briefing.proof_age_ms
-        view.active_digest = briefing.digest
-        view.crash_digest = briefing.crash_digest
-        if briefing.crashes is not None:
-            self._parts.crashes.merge_report(briefing.crashes)
-        self.instances.record_subscription(briefing)
-        for batch in view.feed.receive(briefing, now_ms):
-            apply_batch(self._parts.work_tracker, briefing.instance, batch)
-        self._parts.take(briefing, asked_ms)
+        view.is_serving = message.is_serving
+        view.proof_age_ms = message.proof_age_ms
+        view.active_digest = message.digest
+        view.crash_digest = message.crash_digest
+        if message.crashes is not None:
+            self._parts.crashes.merge_report(message.crashes)
+        self.instances.record_subscription(message)
+        for batch in view.feed.receive(message, now_ms):
+            apply_batch(self._parts.work_tracker, message.instance, batch)
+        self._parts.on_message(message, asked_ms)
         is_answer = asked_ms is not None
-        self.instances.record_active_list(briefing, is_answer=is_answer)
+        self.instances.record_active_list(message, is_answer=is_answer)
 
-    def answer(self, briefing):
+    def handle_request(self, message):
         """Process a message from another instance, and return the answer.
 
         Args:
-          briefing: A Briefing.
+          message: A PeerMessage.
         Returns:
-          A Briefing.
+          A PeerMessage.
         """
-        self.hear(briefing)
+        self.receive(message)
         self.instances.choose()
-        return self._make_briefing(self.instances.view(briefing.instance), [])
+        return self._make_message(self.instances.view(message.instance), [])
 
     def last_peer_message_age_ms(self):
         """Return the age of the oldest last message of an active peer.
@@ -166,7 +166,7 @@
         ]
         return self._now_ms() - min(known) if known else None
 
-    def is_among_first(self, count=None):
+    def is_top_ranked(self, count=None):
         """Tell whether this instance is one of the best-ranked active ones.
 
         Args:
@@ -177,7 +177,7 @@
         first = [one.identity for one in self.active[:count]]
         return self._own in first or not first
 
-    def choose_addresses(self, data_centre):
+    def choose_instances(self, data_centre):
         """Return the members that a client should use.
 
         Args:
@@ -205,7 +205,7 @@
     def _on_interval(self):
         self.instances.choose()
         if self._wants_work():
-            self._poll_all(self.instances.pace_ms())
+            self._poll_all(self.instances.exchange_interval_ms())
             return
         home = self.instances.find_home()
         if home is not None:
@@ -235,39 +235,39 @@
 
     def _on_flush(self):
         self._flush_timer = None
-        news = self._outbox
+        changes = self._outbox
         self._outbox = []
         for member in self._recipients():
-            self._send(member, news)
+            self._send(member, changes)
 
-    def _send(self, member, news):
+    def _send(self, member, changes):
         view = self.instances.view(member.identity)
         now_ms = self._now_ms()
         if view.last_sent_ms is None:
             # A new peer counts as healthy until its first answer is due.
             view.last_received_ms = now_ms
         view.last_sent_ms = now_ms
-        briefing = self._make_briefing(view, news)
+        message = self._make_message(view, changes)
 
         def on_reply(reply):
             if reply is not None:
-                self.hear(reply, now_ms)
+                self.receive(reply, now_ms)
             elif not self._wants_work():
                 self.instances.record_no_response(member)
                 self._poll_next_home()
 
-        self._parts.send(member, briefing, on_reply, _TIMEOUT_MS)
+        self._parts.send(member, message, on_reply, _TIMEOUT_MS)
 
-    def _make_briefing(self, view, news):
+    def _make_message(self, view, changes):
         digest = self.instances.digest
         crashes = self._parts.crashes
         must_report = view.claim_crash_report(crashes.digest, self._now_ms())
-        return self._parts.make_briefing(
+        return self._parts.make_message(
             active=() if view.active_digest == digest else self.active,
             digest=digest,
-            wants_work=self._wants_work(),
-            lacks_work=view.feed.is_incomplete(self._now_ms()),
-            batch=view.feed.make_batch(news, self._own_works),
+            subscribes_to_work=self._wants_work(),
+            needs_snapshot=view.feed.is_incomplete(self._now_ms()),
+            batch=view.feed.make_batch(changes, self._own_works),
             crash_digest=crashes.digest,
             crashes=crashes.make_report() if must_report else None,
         )
@@ -276,8 +276,8 @@
         return self._parts.work_tracker.list_work_of(None)
 
 
-class SharingParts:
-    """The dependencies of Sharing.
+class PeerExchangeParts:
+    """The dependencies of PeerExchange.
 
     Attributes:
       timers: A TimerService.
@@ -291,12 +291,12 @@
         instance's configuration was confirmed to be the newest, or None.
       work_tracker: The EngineWorkTracker.
       crashes: The CrashHistory.
-      make_briefing: A function that returns a Briefing.  Its keyword arguments
-        are the Briefing's attributes that Sharing provides.
-      take: A function that processes a received Briefing.  Its second argument
-        is the time at which the Briefing was requested, or None.
-      send: A function of a Member, a Briefing, a callback that gets the reply
-        or None, and a timeout in milliseconds.
+      make_message: A function that returns a PeerMessage.  Its keyword
+        arguments are the PeerMessage's attributes that PeerExchange provides.
+      on_message: A function that processes a received PeerMessage.  Its second
+        argument is the time at which the PeerMessage was requested, or None.
+      send: A function of a Member, a PeerMessage, a callback that gets the
+        reply or None, and a timeout in milliseconds.
     """
 
     __slots__ = (
@@ -304,12 +304,12 @@
         'crashes',
         'get',
         'is_serving',
-        'make_briefing',
+        'make_message',
         'members',
         'proof_age_ms',
         'random',
         'send',
-        'take',
+        'on_message',
         'timers',
         'version',
     )
--- a/crankchute/core/sharing_test.py
+++ b/crankchute/core/sharing_test.py
@@ -8,12 +8,12 @@
 
 from crankchute.core.engine_fakes import make_work_item
 from crankchute.core.active_choice import Ranking, count_active
-from crankchute.core.briefing import Briefing
+from crankchute.core.briefing import PeerMessage
 from crankchute.core.crash_ledger import CrashHistory
 from crankchute.core.engine_board import Change, EngineWorkTracker
 from crankchute.core.fakes import ManualTimers
 from crankchute.core.membership import Member
-from crankchute.core.sharing import Sharing, SharingParts
+from crankchute.core.sharing import PeerExchange, PeerExchangeParts
 
 
 def make_members(names):
@@ -45,7 +45,7 @@
         return self.known_names.get(name, self.by_name)
 
     def list_active_at(self, name):
-        chosen = self.instances[name].choose_addresses('a')
+        chosen = self.instances[name].choose_instances('a')
         return [member.identity for member in chosen]
 
     def restart(self, name):
@@ -57,12 +57,12 @@
         """Let an instance send work to an engine and report it."""
         work = make_work_item(key, engine)
         self.work_trackers[name].add(work)
-        self.instances[name].note(Change.SENT, work)
+        self.instances[name].report_work(Change.SENT, work)
 
     def end_work(self, name, key, engine='engine-1'):
         work = self.work_trackers[name].state(engine).works[key]
         self.work_trackers[name].end(engine, key)
-        self.instances[name].note(Change.ENDED, work)
+        self.instances[name].report_work(Change.ENDED, work)
 
     def list_work_at(self, name, engine='engine-1'):
         return set(self.work_trackers[name].state(engine).works)
@@ -70,7 +70,7 @@
     def _make(self, name):
         self.work_trackers[name] = EngineWorkTracker(self.timers.clock.now_ms)
         self.histories[name] = CrashHistory(self.timers.clock.now_ms)
-        parts = SharingParts(
+        parts = PeerExchangeParts(
             timers=self.timers,
             random=random.Random(1),
             members=lambda: [
@@ -82,20 +82,20 @@
             proof_age_ms=lambda: self.proof_ages.get(name, 10),
             work_tracker=self.work_trackers[name],
             crashes=self.histories[name],
-            make_briefing=lambda **exchanged: self._make_briefing(
+            make_message=lambda **exchanged: self._make_message(
                 name, **exchanged
             ),
-            take=lambda briefing, asked_ms: self.received.append(
-                (name, briefing, asked_ms),
+            on_message=lambda message, asked_ms: self.received.append(
+                (name, message, asked_ms),
             ),
             send=lambda *args: self._send(name, *args),
         )
-        sharing = Sharing(parts, name)
+        sharing = PeerExchange(parts, name)
         sharing.start()
         return sharing
 
-    def _make_briefing(self, name, **exchanged):
-        return Briefing(
+    def _make_message(self, name, **exchanged):
+        return PeerMessage(
             instance=name,
             boot=self.boot_ids.get(name, 'boot'),
             is_serving=name not in self.stopping,
@@ -103,19 +103,19 @@
             proof_age_ms=self.proof_ages.get(name, 10),
             servers_revision=1,
             servers_age_ms=10,
-            drained=[],
-            gone=[],
-            impressions=[],
+            draining_servers=[],
+            removed_servers=[],
+            server_health=[],
             limits=[],
             **exchanged,
         )
 
-    def _send(self, sender, member, briefing, on_reply, timeout_ms):
+    def _send(self, sender, member, message, on_reply, timeout_ms):
         if {sender, member.identity} & self.isolated:
             self.timers.after(timeout_ms, lambda: on_reply(None))
             return
-        copied = copy.deepcopy(briefing)
-        reply = self.instances[member.identity].answer(copied)
+        copied = copy.deepcopy(message)
+        reply = self.instances[member.identity].handle_request(copied)
         on_reply(copy.deepcopy(reply))
 
 
@@ -190,13 +190,13 @@
     first, second, _third = fleet.list_active_at('a1')
     fleet.received.clear()
     work = make_work_item('work-1', 'engine-1')
-    fleet.instances[first].note(Change.SENT, work)
-    fleet.instances[first].note(Change.STARTED, work)
+    fleet.instances[first].report_work(Change.SENT, work)
+    fleet.instances[first].report_work(Change.STARTED, work)
     fleet.timers.advance(10)
     batches = [
-        [one.change for one in briefing.batch.news]
-        for name, briefing, _asked_ms in fleet.received
-        if name == second and briefing.batch.news
+        [one.change for one in message.batch.changes]
+        for name, message, _asked_ms in fleet.received
+        if name == second and message.batch.changes
     ]
     assert batches == [[Change.SENT, Change.STARTED]]
 
@@ -374,8 +374,8 @@
     fleet.received.clear()
     fleet.timers.advance(1000)
     pairs = {
-        (name, briefing.instance)
-        for name, briefing, asked_ms in fleet.received
+        (name, message.instance)
+        for name, message, asked_ms in fleet.received
         if asked_ms and name not in active
     }
     local = {one for one in pairs if one[0][0] == one[1][0]}
--- a/crankchute/core/work_feed.py
+++ b/crankchute/core/work_feed.py
@@ -7,7 +7,7 @@
 of taking them all for idle.
 """
 
-from crankchute.core.briefing import WorkBatch, WorkNews
+from crankchute.core.briefing import WorkBatch, WorkChange
 from crankchute.core.engine_board import Change
 
 #: Batches may arrive out of order.  A gap that lasts longer than this, which
@@ -49,22 +49,22 @@
             return False
         return now_ms - self._subscribed_ms < timeout_ms
 
-    def record_subscription(self, briefing, now_ms):
+    def record_subscription(self, message, now_ms):
         """Record whether the peer subscribes, and whether it needs a snapshot.
 
         Args:
-          briefing: The peer's Briefing.
+          message: The peer's PeerMessage.
           now_ms: The current time.
         """
-        if briefing.wants_work:
+        if message.subscribes_to_work:
             self._subscribed_ms = now_ms
-            self._owes_snapshot = self._owes_snapshot or briefing.lacks_work
+            self._owes_snapshot = self._owes_snapshot or message.needs_snapshot
 
-    def make_batch(self, news, own_works):
+    def make_batch(self, changes, own_works):
         """Return the batch for the next message to the peer.
 
         Args:
-          news: A list of WorkNews.
+          changes: A list of WorkChange.
           own_works: A function that returns all WorkItems of this instance.
         Returns:
           A WorkBatch; a snapshot if the peer requested one.
@@ -73,12 +73,12 @@
             self._owes_snapshot = False
             self._sent_number += 1
             snapshot = [
-                WorkNews(_last_change(work), work) for work in own_works()
+                WorkChange(_last_change(work), work) for work in own_works()
             ]
-            return WorkBatch(self._sent_number, snapshot, is_whole=True)
-        if news:
+            return WorkBatch(self._sent_number, snapshot, is_snapshot=True)
+        if changes:
             self._sent_number += 1
-        return WorkBatch(self._sent_number, news)
+        return WorkBatch(self._sent_number, changes)
 
     def is_incomplete(self, now_ms):
         """Tell whether a snapshot of the peer's work is needed.
@@ -93,20 +93,20 @@
             and now_ms - self._gap_since_ms > _REORDER_WINDOW_MS
         )
 
-    def receive(self, briefing, now_ms):
+    def receive(self, message, now_ms):
         """Process the batch in a message from the peer.
 
         Args:
-          briefing: The peer's Briefing.
+          message: The peer's PeerMessage.
           now_ms: The current time.
         Returns:
           The WorkBatches to apply now, in order.  A batch that arrived early
           is held back until the ones before it arrive.
         """
-        if briefing.boot != self._boot:
-            self._boot = briefing.boot
+        if message.boot != self._boot:
+            self._boot = message.boot
             self._reset()
-        ready = self._reorder(briefing.batch)
+        ready = self._reorder(message.batch)
         if self._highest_number == self._applied_number:
             self._gap_since_ms = None
         elif self._gap_since_ms is None:
@@ -117,11 +117,11 @@
         """Add a batch, and return those that are next in sequence."""
         ready = []
         self._highest_number = max(self._highest_number, batch.number)
-        if batch.number > self._applied_number and batch.is_whole:
+        if batch.number > self._applied_number and batch.is_snapshot:
             self._has_snapshot = True
             self._applied_number = batch.number
             ready.append(batch)
-        elif batch.number > self._applied_number and batch.news:
+        elif batch.number > self._applied_number and batch.changes:
             self._pending[batch.number] = batch
         self._pending = {
             number: one
@@ -154,10 +154,10 @@
       origin: The id of the instance that sent the batch.
       batch: A WorkBatch.
     """
-    for one in batch.news:
+    for one in batch.changes:
         one.work.origin = origin
-    if batch.is_whole:
-        work_tracker.replace(origin, batch.news)
+    if batch.is_snapshot:
+        work_tracker.replace(origin, batch.changes)
         return
-    for one in batch.news:
+    for one in batch.changes:
         work_tracker.note(one)
--- a/crankchute/core/work_feed_test.py
+++ b/crankchute/core/work_feed_test.py
@@ -7,7 +7,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, rule
 
 from crankchute.core.engine_fakes import make_work_item
-from crankchute.core.briefing import Briefing, WorkNews
+from crankchute.core.briefing import PeerMessage, WorkChange
 from crankchute.core.engine_board import Change, EngineWorkTracker
 from crankchute.core.work_feed import WorkFeed, apply_batch
 
@@ -17,10 +17,10 @@
 PAUSE_MS = 100
 
 
-def make_briefing(boot, **exchanged):
-    fields = dict.fromkeys(Briefing.__slots__)
+def make_message(boot, **exchanged):
+    fields = dict.fromkeys(PeerMessage.__slots__)
     fields.update(is_serving=True, instance=SENDER, boot=boot, **exchanged)
-    return Briefing(**fields)
+    return PeerMessage(**fields)
 
 
 class FeedMachine(RuleBasedStateMachine):
@@ -52,14 +52,14 @@
             until_ms=float('inf'),
         )
         self.sender_work_tracker.add(work)
-        self.outbox.append(WorkNews(Change.SENT, work))
+        self.outbox.append(WorkChange(Change.SENT, work))
 
     @rule(change=st.sampled_from([Change.STARTED, Change.ENDED]))
     def change_work(self, change):
         works = self.sender_work_tracker.list_work_of(None)
         if not works:
             return
-        news = WorkNews(change, works[0])
+        news = WorkChange(change, works[0])
         self.sender_work_tracker.note(news)
         self.outbox.append(news)
 
@@ -70,21 +70,21 @@
             lambda: self.sender_work_tracker.list_work_of(None),
         )
         self.outbox = []
-        briefing = make_briefing(
+        message = make_message(
             f'boot-{self.boot_count}',
             batch=batch,
-            wants_work=False,
-            lacks_work=False,
+            subscribes_to_work=False,
+            needs_snapshot=False,
         )
-        self.in_flight.append(copy.deepcopy(briefing))
+        self.in_flight.append(copy.deepcopy(message))
 
     @rule()
     def add_subscription(self):
-        request = make_briefing(
+        request = make_message(
             'receiver',
             batch=None,
-            wants_work=True,
-            lacks_work=self.receiver.is_incomplete(self.now_ms),
+            subscribes_to_work=True,
+            needs_snapshot=self.receiver.is_incomplete(self.now_ms),
         )
         self.sender.record_subscription(request, self.now_ms)
 
@@ -93,11 +93,11 @@
         """Deliver the oldest message, or a later one out of order."""
         if not self.in_flight:
             return
-        briefing = self.in_flight.pop(index % len(self.in_flight))
+        message = self.in_flight.pop(index % len(self.in_flight))
         # The messages of a process are lost when its connections close.
-        if briefing.boot != f'boot-{self.boot_count}':
+        if message.boot != f'boot-{self.boot_count}':
             return
-        for batch in self.receiver.receive(briefing, self.now_ms):
+        for batch in self.receiver.receive(message, self.now_ms):
             apply_batch(self.receiver_work_tracker, SENDER, batch)
 
     @rule()
@@ -118,7 +118,7 @@
         self.send_work()
         self.flush()
         work = self.sender_work_tracker.list_work_of(None)[-1]
-        ended = WorkNews(Change.ENDED, work)
+        ended = WorkChange(Change.ENDED, work)
         self.sender_work_tracker.note(ended)
         self.outbox.append(ended)
         self.flush()
--- a/crankchute/entry/borrowing.py
+++ b/crankchute/entry/borrowing.py
@@ -1,6 +1,6 @@
 """Lending and borrowing portions of account limits between instances."""
 
-from crankchute.core.addresses import list_sharers
+from crankchute.core.addresses import list_limit_sharers
 from crankchute.proto import peer_pb2
 
 _CHECK_MS = 500
@@ -46,8 +46,8 @@
     def _ask_sharers(self, use):
         account = use.account
         membership = self._peering.membership
-        sharers = list_sharers(
-            membership.believed_alive(),
+        sharers = list_limit_sharers(
+            membership.live_members(),
             account.name,
             account.width,
         )
--- a/crankchute/entry/caller_api.py
+++ b/crankchute/entry/caller_api.py
@@ -4,7 +4,7 @@
 from http import HTTPStatus
 
 from crankchute.adapters.routes import Routes, read_query
-from crankchute.core.addresses import choose_addresses
+from crankchute.core.addresses import choose_instances
 from crankchute.core.service_flow import ServiceAnswer
 from crankchute.entry.answers import make_answer, reply_refusal
 from crankchute.entry.completion_request import (
@@ -107,8 +107,8 @@
                 'unknown_account',
                 f'there is no account {name!r}',
             )
-        members = choose_addresses(
-            node.peering.membership.believed_alive(),
+        members = choose_instances(
+            node.peering.membership.live_members(),
             name,
             account.width,
             node.peering.membership.own.data_centre,
--- a/crankchute/entry/forward_node.py
+++ b/crankchute/entry/forward_node.py
@@ -249,7 +249,7 @@
         Returns:
           A list of "IP:port".
         """
-        members = self.peers.sharing.choose_addresses(data_centre)
+        members = self.peers.sharing.choose_instances(data_centre)
         return [member.http_address for member in members]
 
     def _check_informed(self):
@@ -282,7 +282,7 @@
             (
                 'members',
                 'Entry instances not believed dead.',
-                lambda: len(self.peers.membership.believed_alive()),
+                lambda: len(self.peers.membership.live_members()),
             ),
         )
         for name, text, function in gauges:
@@ -297,7 +297,7 @@
 
     def _note_work(self, change, work):
         """Tell the others of work, and learn what engines have at the first."""
-        self.peers.sharing.note(change, work)
+        self.peers.sharing.report_work(change, work)
         self._survey.run(lambda: self._list_siblings(work.engine))
 
     def _list_siblings(self, engine):
--- a/crankchute/entry/forward_peers.py
+++ b/crankchute/entry/forward_peers.py
@@ -3,13 +3,13 @@
 import time
 from functools import partial
 
-from crankchute.adapters.peer_records import read_briefing, write_briefing
+from crankchute.adapters.peer_records import read_message, write_message
 from crankchute.adapters.peers_grpc import PeerClient, PeerServer
-from crankchute.core.briefing import Briefing, Impression
+from crankchute.core.briefing import PeerMessage, ServerHealth
 from crankchute.core.limit_desk import ServerRateLimits
 from crankchute.core.membership import Member
 from crankchute.core.replica import ChangeSet, Entry
-from crankchute.core.sharing import Sharing, SharingParts
+from crankchute.core.sharing import PeerExchange, PeerExchangeParts
 from crankchute.core.suspicion import LEAST_FAILURES
 from crankchute.entry.peering import Peering
 from crankchute.entry.turn_lending import PermitLending
@@ -131,7 +131,7 @@
     """Gossip, shared knowledge and fetched configurations.
 
     Attributes:
-      sharing: The Sharing.
+      sharing: The PeerExchange.
       membership: The Membership.
       limits: The ServerRateLimits.
       lending: The PermitLending.
@@ -179,10 +179,10 @@
             identity.boot,
         )
         self.lending = PermitLending(node, self)
-        self.sharing = Sharing(self._make_parts(node), identity.instance)
-        self.limits.advertised.subscribe(self.sharing.tell_soon)
+        self.sharing = PeerExchange(self._make_parts(node), identity.instance)
+        self.limits.advertised.subscribe(self.sharing.schedule_send)
         self._seeds = []
-        self._impressions = []
+        self._server_health = []
         self._impressed_ms = float('-inf')
         self._start_ms = self._now_ms()
         self._asked_seeds_ms = float('-inf')
@@ -203,8 +203,8 @@
     def on_share(self, request, on_reply):
         """See PeerServicer."""
         now_ms = self._now_ms()
-        reply = self.sharing.answer(read_briefing(request, now_ms))
-        on_reply(write_briefing(reply, now_ms))
+        reply = self.sharing.handle_request(read_message(request, now_ms))
+        on_reply(write_message(reply, now_ms))
 
     def on_turn(self, request, on_reply):
         """See PeerServicer."""
@@ -249,7 +249,7 @@
         if member is None:
             return True
         instances = self.sharing.instances
-        silent_ms = instances.pace_ms() * _LOST_PACES
+        silent_ms = instances.exchange_interval_ms() * _LOST_PACES
         view = instances.view(instance)
         return not member.draining and view.is_silent(self._now_ms(), silent_ms)
 
@@ -259,9 +259,9 @@
         Args:
           is_serving: A bool.
         """
-        self.membership.announce(draining=not is_serving)
+        self.membership.update_own(draining=not is_serving)
         self._peering.notify()
-        self.sharing.tell_now()
+        self.sharing.send_now()
 
     def stop(self):
         """Stop to listen."""
@@ -272,29 +272,29 @@
         return self._timers.clock.now_ms()
 
     def _make_parts(self, node):
-        return SharingParts(
+        return PeerExchangeParts(
             timers=self._timers,
             random=node.random,
-            members=self.membership.believed_alive,
+            members=self.membership.live_members,
             get=self.membership.get,
             version=lambda: self.membership.version,
             work_tracker=node.work_tracker,
             crashes=node.crashes,
             is_serving=lambda: node.is_accepting,
             proof_age_ms=lambda: node.holder.proof_age_ms(self._now_ms()),
-            make_briefing=self._make_briefing,
-            take=self._take,
+            make_message=self._make_message,
+            on_message=self._take,
             send=self._send,
         )
 
-    def _send(self, member, briefing, on_reply, timeout_ms):
-        request = write_briefing(briefing, self._now_ms())
+    def _send(self, member, message, on_reply, timeout_ms):
+        request = write_message(message, self._now_ms())
 
         def take(reply):
             if reply is None:
                 on_reply(None)
             else:
-                on_reply(read_briefing(reply, self._now_ms()))
+                on_reply(read_message(reply, self._now_ms()))
 
         self._peering.call(
             member.peer_address,
@@ -304,9 +304,9 @@
             timeout_ms,
         )
 
-    def _make_briefing(self, **told):
+    def _make_message(self, **told):
         node = self._node
-        return Briefing(
+        return PeerMessage(
             instance=node.identity.instance,
             boot=node.identity.boot,
             is_serving=node.is_accepting,
@@ -314,54 +314,54 @@
             proof_age_ms=node.holder.proof_age_ms(self._now_ms()),
             servers_revision=node.servers.revision,
             servers_age_ms=node.servers.proof_age_ms(self._now_ms()),
-            drained=node.fleet.drained(),
-            gone=node.fleet.gone(),
-            impressions=self._list_impressions(),
+            draining_servers=node.fleet.drained(),
+            removed_servers=node.fleet.gone(),
+            server_health=self._list_server_health(),
             limits=self.limits.advertised.list_updates(),
             **told,
         )
 
-    def _take(self, briefing, asked_ms):
+    def _take(self, message, asked_ms):
         node = self._node
-        self.membership.merge(briefing.active)
-        self._take_servers(briefing)
-        self._take_impressions(briefing)
-        self.limits.advertised.merge_updates(briefing.limits)
-        self._fetch(briefing, _CONFIG, briefing.version)
-        self._fetch(briefing, _SERVERS, briefing.servers_revision)
+        self.membership.merge(message.active)
+        self._take_servers(message)
+        self._take_server_health(message)
+        self.limits.advertised.merge_updates(message.limits)
+        self._fetch(message, _CONFIG, message.version)
+        self._fetch(message, _SERVERS, message.servers_revision)
         if asked_ms is None:
             return
         # What was asked for at a moment proves no more than that.
-        if briefing.proof_age_ms is not None:
-            proved_ms = asked_ms - briefing.proof_age_ms
-            node.holder.confirm(briefing.version, proved_ms)
-        if briefing.servers_age_ms is not None:
-            proved_ms = asked_ms - briefing.servers_age_ms
-            node.servers.confirm(briefing.servers_revision, proved_ms)
-
-    def _list_impressions(self):
+        if message.proof_age_ms is not None:
+            proved_ms = asked_ms - message.proof_age_ms
+            node.holder.confirm(message.version, proved_ms)
+        if message.servers_age_ms is not None:
+            proved_ms = asked_ms - message.servers_age_ms
+            node.servers.confirm(message.servers_revision, proved_ms)
+
+    def _list_server_health(self):
         now_ms = self._now_ms()
         if now_ms - self._impressed_ms > _IMPRESSIONS_MS:
             self._impressed_ms = now_ms
-            self._impressions = list_impressions(self._node, now_ms)
-        return self._impressions
+            self._server_health = list_server_health(self._node, now_ms)
+        return self._server_health
 
-    def _take_servers(self, briefing):
+    def _take_servers(self, message):
         fleet = self._node.fleet
-        for identity in briefing.drained:
+        for identity in message.draining_servers:
             fleet.note_drained(identity)
-        for identity in briefing.gone:
+        for identity in message.removed_servers:
             fleet.note_gone(identity)
 
-    def _take_impressions(self, briefing):
-        for one in briefing.impressions:
+    def _take_server_health(self, message):
+        for one in message.server_health:
             backend = self._node.fleet.get(one.server)
             if backend is not None:
-                backend.suspicion.merge_remote(briefing.instance, one.signs)
+                backend.suspicion.merge_remote(message.instance, one.signs)
 
-    def _fetch(self, briefing, store, revision):
+    def _fetch(self, message, store, revision):
         """Fetch what the teller has of a published store, if it is newer."""
-        teller = self.membership.get(briefing.instance)
+        teller = self.membership.get(message.instance)
         if teller is not None:
             self._peering.pull_if_behind(
                 teller.peer_address,
@@ -371,7 +371,7 @@
 
     def _ask_seeds(self):
         """Ask the seeds while nobody else is known to be alive."""
-        if len(self.membership.believed_alive()) > 1:
+        if len(self.membership.live_members()) > 1:
             return
         now_ms = self._now_ms()
         is_early = now_ms - self._start_ms < _EARLY_MS
@@ -384,21 +384,21 @@
                 self._peering.probe(address, _ignore)
 
 
-def list_impressions(node, now_ms):
+def list_server_health(node, now_ms):
     """Return what an instance thinks of servers that seem unsound to it.
 
     Args:
       node: The ForwardNode.
       now_ms: The time.
     Returns:
-      A list of Impression, by this instance's own requests only.
+      A list of ServerHealth, by this instance's own requests only.
     """
-    impressions = []
+    server_health = []
     for backend in node.fleet:
         signs = backend.suspicion.local_counts(now_ms)
         if signs.failures > LEAST_FAILURES:
-            impressions.append(Impression(backend.identity, signs))
-    return impressions
+            server_health.append(ServerHealth(backend.identity, signs))
+    return server_health
 
 
 def _write_address(address):
--- a/crankchute/entry/inventory.py
+++ b/crankchute/entry/inventory.py
@@ -58,7 +58,7 @@
             documents = self._replica.preview(changes)
         except StaleRevisionError:
             return False
-        self._replica = self._replica.advanced(changes)
+        self._replica = self._replica.with_changes(changes)
         self.records = []
         self.findings = []
         for key, document in documents.items():
--- a/crankchute/entry/node.py
+++ b/crankchute/entry/node.py
@@ -97,7 +97,7 @@
         if self.phase in {DRAINING, CLOSED}:
             return
         self._enter(DRAINING)
-        self.peering.membership.announce(draining=True)
+        self.peering.membership.update_own(draining=True)
         self.peering.notify()
         self.timers.after(self.settings.address_ttl_ms, self._close)
 
@@ -229,14 +229,14 @@
         self.metrics.add_gauge(
             'members',
             'Entry instances not believed dead.',
-            lambda: len(self.peering.membership.believed_alive()),
+            lambda: len(self.peering.membership.live_members()),
         )
 
     def _on_joined(self):
         self.reader.end_join()
         if self.phase == JOINING:
             self._enter(SERVING)
-            self.peering.membership.announce(draining=False)
+            self.peering.membership.update_own(draining=False)
             self.peering.notify()
 
     def _on_config(self, config):
--- a/crankchute/entry/owning.py
+++ b/crankchute/entry/owning.py
@@ -92,7 +92,7 @@
         owner = self._owners.get(backend.identity)
         if owner is None:
             owner = choose_owner(
-                membership.believed_alive(),
+                membership.live_members(),
                 backend.identity,
                 backend.listed.data_centre,
             )
--- a/crankchute/entry/reading.py
+++ b/crankchute/entry/reading.py
@@ -5,7 +5,7 @@
 """
 
 from crankchute.adapters.log import log_change
-from crankchute.core.addresses import is_reader
+from crankchute.core.addresses import is_platform_reader
 
 _CHECK_MS = 1000
 _FAILING_MS = 2000
@@ -41,7 +41,7 @@
     def _check(self):
         membership = self._peering.membership
         self._announce_reach(membership)
-        chosen = is_reader(membership.believed_alive(), membership.own)
+        chosen = is_platform_reader(membership.live_members(), membership.own)
         for watch, holder in self._sources:
             lacks = self._joining and not holder.seen_revision
             if chosen or lacks or watch.failing_since_ms is not None:
@@ -57,5 +57,5 @@
             for watch, _ in self._sources
         )
         if reaches != membership.own.reads_platform:
-            membership.announce(reads_platform=reaches)
+            membership.update_own(reads_platform=reaches)
             log_change('platform_reached', reached=reaches)
--- a/crankchute/entry/turn_lending_test.py
+++ b/crankchute/entry/turn_lending_test.py
@@ -46,7 +46,7 @@
 
 def lend_nothing(world):
     """Let a server that nobody knows be asked for."""
-    world.fleet.remove('a', may_lapse=False)
+    world.fleet.remove('a', may_have_expired=False)
 
 
 def leave(world):
--- a/crankchute/platform/limited_servers_test.py
+++ b/crankchute/platform/limited_servers_test.py
@@ -209,7 +209,7 @@
     ask_for_work(world, engine)
     before = engine.arrivals
     fleet = world.nodes[0].fleet
-    fleet.remove(engine.identity, may_lapse=False)
+    fleet.remove(engine.identity, may_have_expired=False)
     fleet.put(list_engine(engine))
     ask_often(world, world.nodes[0])
     assert engine.arrivals == before
--- a/crankchute/platform/node.py
+++ b/crankchute/platform/node.py
@@ -206,7 +206,7 @@
         return choose_max_age_ms(self.settings.bounds.in_force_ms)
 
     def _is_reader(self):
-        return self.node.peers.sharing.is_among_first(_READERS)
+        return self.node.peers.sharing.is_top_ranked(_READERS)
 
     def _choose_retries(self):
         return _READER_RETRIES_MS if self._is_reader() else _RETRIES_MS
--- a/crankchute/platform/published.py
+++ b/crankchute/platform/published.py
@@ -93,12 +93,12 @@
     def on_changes(self, entries, asked_ms):
         """Take the entries that changed."""
         known = self._servers.revision
-        may_lapse = self._is_troubled()
+        may_have_expired = self._is_troubled()
         found = {
             entry.key.removeprefix(SERVERS_PREFIX): Entry(
                 entry.revision,
                 entry.payload,
-                may_lapse=may_lapse and entry.payload is None,
+                may_have_expired=may_have_expired and entry.payload is None,
             )
             for entry in entries
             if entry.revision > known
@@ -158,10 +158,14 @@
         What is missing in an older copy its server writes again soon, and what
         is there may be of a server that left since.
         """
-        may_lapse = any(entry.may_lapse for entry in entries.values())
+        may_have_expired = any(
+            entry.may_have_expired for entry in entries.values()
+        )
         self._fleet.replace(
             list(listed.values()),
-            may_lapse=may_lapse or came_back or self._is_troubled(),
+            may_have_expired=may_have_expired
+            or came_back
+            or self._is_troubled(),
             may_be_old=came_back,
         )
         log_change('servers_listed', servers=len(listed))
@@ -192,7 +196,9 @@
             )
 
     def _remove(self, listed_id, entry):
-        gone = self._fleet.remove(listed_id, may_lapse=entry.may_lapse)
+        gone = self._fleet.remove(
+            listed_id, may_have_expired=entry.may_have_expired
+        )
         if gone is not None:
             log_change('server_gone', server=gone)
 
--- a/crankchute/platform/resting_servers_test.py
+++ b/crankchute/platform/resting_servers_test.py
@@ -81,7 +81,7 @@
     ask_for_work(world, engine)
     before = engine.arrivals
     fleet = world.nodes[0].fleet
-    fleet.remove(engine.identity, may_lapse=False)
+    fleet.remove(engine.identity, may_have_expired=False)
     fleet.put(list_engine(engine))
     ask_often(world, world.nodes[0])
     assert engine.arrivals == before
