--- a/bench/capacity_core.py
+++ b/bench/capacity_core.py
@@ -20,9 +20,9 @@
     FakeEngines,
     ManualTimers,
     RecordingSink,
-    make_documents,
+    make_config_documents,
     make_job,
-    make_listed,
+    make_listed_instance,
     make_load,
 )
 from crankchute.core.fleet import Fleet
@@ -138,7 +138,9 @@
 def _make_dispatcher(engines):
     timers = ManualTimers()
     fleet = Fleet()
-    fleet.replace([make_listed(f'engine-{one}') for one in range(engines)])
+    fleet.replace(
+        [make_listed_instance(f'engine-{one}') for one in range(engines)]
+    )
     ports = DispatcherPorts(
         engines=FakeEngines(),
         timers=timers,
@@ -147,7 +149,7 @@
     )
     limits = AccountLimits(timers.clock)
     dispatcher = Dispatcher(ports, fleet, limits, 'dc-1')
-    dispatcher.config = load_config(1, make_documents())
+    dispatcher.config = load_config(1, make_config_documents())
     for backend in list(fleet)[:_REPORTING]:
         fleet.note_load(backend, make_load(0))
     return dispatcher, ports.engines, timers.clock
@@ -182,7 +184,7 @@
 
 
 def _make_shards(accounts):
-    documents = make_documents()
+    documents = make_config_documents()
     documents.pop('accounts')
     for start in range(0, accounts, _SHARD):
         names = range(start, min(start + _SHARD, accounts))
--- a/bench/choice_cost.py
+++ b/bench/choice_cost.py
@@ -13,7 +13,11 @@
 from crankchute.core.engine_chooser import EngineChooser
 from crankchute.core.engine_fakes import make_work_item
 from crankchute.core.fakes import ManualTimers
-from crankchute.core.forward_fakes import make_backends, make_job, make_parts
+from crankchute.core.forward_fakes import (
+    make_backends,
+    make_job,
+    make_chooser_parts,
+)
 from crankchute.core.forward_job import PromptSize
 
 _SIZES = (18, 60, 150, 600, 2900)
@@ -32,7 +36,7 @@
       seed: Of the random numbers.
     """
     backends = make_backends(engines)
-    parts = make_parts(ManualTimers(), lambda: backends)
+    parts = make_chooser_parts(ManualTimers(), lambda: backends)
     parts.random = random.Random(seed)
     for backend in backends:
         if parts.random.random() < _WRITING:
--- a/bench/crash_ways.py
+++ b/bench/crash_ways.py
@@ -19,7 +19,7 @@
     FakeSink,
     make_backends,
     make_job,
-    make_parts,
+    make_chooser_parts,
 )
 from crankchute.core.forward_job import RetryMode
 from crankchute.core.outcomes import Outcome
@@ -244,7 +244,7 @@
         history = make_history(self.timers.clock.now_ms, blame=blames[blame])
         self._histories.append(history)
         history.subscribe(partial(self._tell_all, history))
-        parts = make_parts(self.timers, lambda: list(self.backends))
+        parts = make_chooser_parts(self.timers, lambda: list(self.backends))
         parts.random = self.random
         hints = RetryHints(self.random)
         return make_plain_desk(self.port, parts, hints, history)
--- a/bench/limit_ways.py
+++ b/bench/limit_ways.py
@@ -14,7 +14,11 @@
 
 from bench.model_desk import EndSink, SentCall, make_plain_desk
 from crankchute.core.fakes import ManualTimers
-from crankchute.core.forward_fakes import make_backends, make_job, make_parts
+from crankchute.core.forward_fakes import (
+    make_backends,
+    make_job,
+    make_chooser_parts,
+)
 from crankchute.core.forward_job import RetryMode
 from crankchute.core.limit_desk import ServerRateLimits
 from crankchute.core.limit_shares import WINDOW_MS
@@ -274,7 +278,9 @@
         listener.on_end()
 
     def _make_desk(self):
-        parts = make_parts(self.world.timers, lambda: list(self._backends))
+        parts = make_chooser_parts(
+            self.world.timers, lambda: list(self._backends)
+        )
         parts.random = self.world.random
         parts.hints = RetryHints(self.world.random)
         parts.permits = self.permits
--- a/bench/local_fleet.py
+++ b/bench/local_fleet.py
@@ -8,9 +8,9 @@
 from crankchute.core.fakes import (
     ManualTimers,
     RecordingSink,
-    make_documents,
+    make_config_documents,
     make_job,
-    make_listed,
+    make_listed_instance,
 )
 from crankchute.core.fleet import Fleet, LoadReport
 from crankchute.core.frames import Frame
@@ -195,7 +195,9 @@
         fleet = Fleet()
         fleet.replace(
             [
-                make_listed(name, data_centre=f'dc-{number % _CENTRES}')
+                make_listed_instance(
+                    name, data_centre=f'dc-{number % _CENTRES}'
+                )
                 for number, name in enumerate(self._models)
             ]
         )
@@ -208,7 +210,7 @@
         limits = AccountLimits(self.timers.clock)
         centre = f'dc-{index % _CENTRES}'
         dispatcher = Dispatcher(ports, fleet, limits, centre)
-        documents = make_documents(
+        documents = make_config_documents(
             accounts=[
                 {'name': 'acc', 'width': 1, 'max_in_progress': 1_000_000}
             ],
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -24,11 +24,11 @@
     make_backends,
     make_figures,
     make_job,
-    make_parts,
+    make_chooser_parts,
 )
 from crankchute.core.forward_job import PromptSize, RetryMode
 from crankchute.core.outcomes import Outcome
-from crankchute.core.reservations import ReservationDesk
+from crankchute.core.reservations import ReservationManager
 from crankchute.core.return_hints import RetryHints
 from crankchute.core.sliding_budget import RetryLimits
 from crankchute.ports.forwarding import AnswerSink
@@ -190,14 +190,14 @@
         self._random = random.Random(seed)
         figures = make_figures(usual_prompt=12_000, usual_answer=1250)
         backends = make_backends(engines)
-        parts = make_parts(self.timers, lambda: backends)
+        parts = make_chooser_parts(self.timers, lambda: backends)
         parts.pool.figures = figures
         parts.random = self._random
         parts.hints = RetryHints(self._random)
         parts.work_tracker = EngineWorkTracker(self.timers.clock.now_ms)
         chosen = choosers[chooser](parts)
         journal = FakeJournal()
-        reservations = ReservationDesk(
+        reservations = ReservationManager(
             FreeMemory(self.timers),
             self.timers,
             Metrics(),
--- a/bench/pass_engines.py
+++ b/bench/pass_engines.py
@@ -204,6 +204,6 @@
         """See ReservationPort."""
         self._timers.after(_NETWORK_MS, partial(on_done, True))
 
-    def release(self, helper, patience_ms, on_done):
+    def release(self, helper, timeout_ms, on_done):
         """See ReservationPort."""
         self._timers.after(_NETWORK_MS, partial(on_done, True))
--- a/bench/rest_ways.py
+++ b/bench/rest_ways.py
@@ -12,7 +12,11 @@
 
 from bench.model_desk import EndSink, SentCall, make_plain_desk
 from crankchute.core.fakes import ManualTimers
-from crankchute.core.forward_fakes import make_backends, make_job, make_parts
+from crankchute.core.forward_fakes import (
+    make_backends,
+    make_job,
+    make_chooser_parts,
+)
 from crankchute.core.forward_job import RetryMode
 from crankchute.core.outcomes import Outcome
 from crankchute.core.registry import Registry
@@ -245,7 +249,9 @@
         )
 
     def _make_desk(self, instance):
-        parts = make_parts(self.timers, lambda: list(self.fleets[instance]))
+        parts = make_chooser_parts(
+            self.timers, lambda: list(self.fleets[instance])
+        )
         parts.random = self.random
         parts.hints = RetryHints(self.random)
         return make_plain_desk(Servers(self, instance), parts, parts.hints)
--- a/crankchute/adapters/forward_journal.py
+++ b/crankchute/adapters/forward_journal.py
@@ -134,7 +134,7 @@
             limit=notice.limit,
         )
 
-    def log_set_aside(self, request_id, helpers, refused, took_ms):
+    def log_reserved(self, request_id, helpers, refused, took_ms):
         """Log that engines were asked to set memory aside.
 
         Args:
@@ -170,20 +170,20 @@
             server=helper.backend.identity,
         )
 
-    def log_released(self, request_id, helper, tries):
+    def log_released(self, request_id, helper, attempts):
         """Log that memory must be free: released for sure, or lapsed.
 
         Args:
           request_id: The id of the request that the memory was for.
           helper: The PrefillHelper with its ticket.
-          tries: How often its engine was asked.
+          attempts: How often its engine was asked.
         """
         log_change(
             'memory_released',
             request=request_id,
             ticket=helper.ticket,
             server=helper.backend.identity,
-            tries=tries,
+            tries=attempts,
         )
 
     def log_end(self, flow, outcome, code):
--- a/crankchute/core/choosers.py
+++ b/crankchute/core/choosers.py
@@ -36,7 +36,8 @@
       work_tracker: The EngineWorkTracker.
       announce_work: A function of a Change and a WorkItem that announces this
         instance's work to other instances.
-      new_ticket: A function that returns the id of a new memory reservation.
+      create_ticket_id: A function that returns the id of a new memory
+        reservation.
       data_centre: The data centre of this instance.
       hints: The RetryHints for refused callers.
       is_connected: A function of a Backend that returns whether an idle
@@ -54,7 +55,7 @@
         'hints',
         'is_connected',
         'members',
-        'new_ticket',
+        'create_ticket_id',
         'announce_work',
         'pool',
         'random',
--- a/crankchute/core/choosers_test.py
+++ b/crankchute/core/choosers_test.py
@@ -7,12 +7,16 @@
 
 from crankchute.core.choosers import LeastBusyChooser
 from crankchute.core.fakes import ManualTimers
-from crankchute.core.forward_fakes import make_backends, make_job, make_parts
+from crankchute.core.forward_fakes import (
+    make_backends,
+    make_job,
+    make_chooser_parts,
+)
 from crankchute.core.outcomes import Outcome
 
 
 def make_chooser(backends, connected):
-    parts = make_parts(ManualTimers(), lambda: backends)
+    parts = make_chooser_parts(ManualTimers(), lambda: backends)
     parts.random = random.Random(1)
     parts.is_connected = lambda backend: backend.identity in connected
     return LeastBusyChooser(parts)
--- a/crankchute/core/completion_machine_test.py
+++ b/crankchute/core/completion_machine_test.py
@@ -21,9 +21,9 @@
     FakeEngines,
     ManualTimers,
     RecordingSink,
-    make_documents,
+    make_config_documents,
     make_job,
-    make_listed,
+    make_listed_instance,
     make_load,
 )
 from crankchute.core.fleet import Fleet
@@ -47,7 +47,7 @@
         self.engines = FakeEngines()
         self.fleet = Fleet()
         self.fleet.replace(
-            [make_listed(f'engine-{one}') for one in range(_ENGINES)]
+            [make_listed_instance(f'engine-{one}') for one in range(_ENGINES)]
         )
         self.sinks = []
         self.flows = {}
@@ -59,7 +59,7 @@
             metrics=Metrics(),
         )
         self.dispatcher = Dispatcher(ports, self.fleet, limits, 'dc-1')
-        self.dispatcher.config = load_config(1, make_documents())
+        self.dispatcher.config = load_config(1, make_config_documents())
         self.limits = limits
         self.report_load()
 
@@ -109,11 +109,11 @@
             running.remove(generation)
             generation.listener.on_refused('no_memory', 100)
 
-    @precondition(lambda machine: machine.engines.asked)
+    @precondition(lambda machine: machine.engines.pending_answers)
     @rule(choice=st.integers(min_value=0), accepted=st.booleans())
     def answer_group_call(self, choice, accepted):
         """Answer a memory reservation or a segment prefill of a group."""
-        asked = self.engines.asked
+        asked = self.engines.pending_answers
         asked.pop(choice % len(asked))(accepted)
 
     @rule(delay_ms=st.integers(min_value=1, max_value=5000))
@@ -125,7 +125,7 @@
     @rule(delay_ms=st.integers(min_value=1000, max_value=70_000))
     def suspend_process(self, delay_ms):
         """Suspend and resume the process, possibly past deadlines."""
-        self.timers.jump(delay_ms)
+        self.timers.suspend(delay_ms)
         self.timers.advance(0)
         self.report_load()
 
@@ -136,7 +136,7 @@
     )
     def suspend_before_read(self, choice, delay_ms):
         """Suspend the process after a frame arrives and before it is read."""
-        self.timers.jump(delay_ms)
+        self.timers.suspend(delay_ms)
         running = self.engines.generating
         running[choice % len(running)].send('next')
         self.timers.advance(0)
@@ -152,17 +152,17 @@
         sink = next(
             one for one in self.sinks if one.job.request_id == request_id
         )
-        sink.gone = True
+        sink.is_caller_gone = True
 
     @invariant()
     def requests_end_once_and_in_time(self):
         """No request ends twice, and none is open past its deadline."""
         now_ms = self.timers.clock.now_ms()
         for sink in self.sinks:
-            assert sink.ends <= 1
+            assert sink.end_count <= 1
             assert not sink.is_late
             overdue = now_ms > sink.job.deadline_ms + _DEADLINE_SLACK_MS
-            assert sink.ends or sink.gone or not overdue
+            assert sink.end_count or sink.is_caller_gone or not overdue
 
     @invariant()
     def answers_belong_to_their_request(self):
--- a/crankchute/core/crash_watch_test.py
+++ b/crankchute/core/crash_watch_test.py
@@ -41,7 +41,7 @@
             deadline_ms=now_ms + 10_000,
             **fields,
         )
-        while not sink.seen:
+        while not sink.events:
             self.cut(self.port.calls[-1], is_listening)
             self.timers.advance(100)
         return sink
@@ -49,11 +49,11 @@
     def submit_and_answer(self, fingerprint):
         """Submit a request, answer it if sent, return what the caller sees."""
         _flow, sink = self.submit(fingerprint=fingerprint)
-        if not sink.seen:
+        if not sink.events:
             call = self.port.calls[-1]
             call.listener.on_head(AnswerHead(200))
             call.listener.on_end()
-        return sink.seen
+        return sink.events
 
 
 @pytest.mark.parametrize(
@@ -67,16 +67,16 @@
     harness = World()
     sinks = [harness.submit_and_cut(is_listening) for _ in range(4)]
     assert len(harness.port.calls) == sent
-    assert sinks[0].seen == [FAILED]
-    assert (sinks[-1].seen == [NOT_RUN]) == (is_listening is False)
+    assert sinks[0].events == [FAILED]
+    assert (sinks[-1].events == [NOT_RUN]) == (is_listening is False)
 
 
 def test_refusal_says_when_the_quarantine_ends():
     harness = World()
     for _ in range(3):
         sink = harness.submit_and_cut(is_listening=False)
-    assert sink.seen == [NOT_RUN]
-    assert sink.hint_ms == HINT_MS
+    assert sink.events == [NOT_RUN]
+    assert sink.retry_after_ms == HINT_MS
     assert harness.journal.ends[-1] == 'crashes_servers'
 
 
@@ -98,9 +98,9 @@
     harness.submit_and_cut(is_listening=False)
     _flow, sink = harness.submit(fingerprint=CULPRIT)
     harness.cut(harness.port.calls[2], False)
-    assert sink.seen == []
+    assert sink.events == []
     harness.timers.advance(_PROBE_MS)
-    assert sink.seen == [FAILED]
+    assert sink.events == [FAILED]
     assert len(harness.port.calls) == 3
 
 
@@ -118,7 +118,7 @@
         flow.cancel()
     harness.timers.advance(_PROBE_MS)
     assert flow.ended
-    assert sink.seen == seen
+    assert sink.events == seen
     assert len(harness.port.calls) == 3
 
 
@@ -142,7 +142,7 @@
     sent = len(harness.port.calls)
     harness.cut(copy_call, False)
     harness.timers.advance(_PROBE_MS)
-    assert sink.seen[-1] == FAILED
+    assert sink.events[-1] == FAILED
     assert len(harness.port.calls) == sent
 
 
@@ -182,7 +182,7 @@
             harness.cut(call, is_listening=False)
         harness.timers.advance(100)
     before = len(harness.port.calls)
-    assert harness.submit_and_cut(is_listening=False).seen == [FAILED]
+    assert harness.submit_and_cut(is_listening=False).events == [FAILED]
     assert len(harness.port.calls) - before == 1
 
 
--- a/crankchute/core/dispatcher_test.py
+++ b/crankchute/core/dispatcher_test.py
@@ -14,9 +14,9 @@
     FakeEngines,
     ManualTimers,
     RecordingSink,
-    make_documents,
+    make_config_documents,
     make_job,
-    make_listed,
+    make_listed_instance,
     make_load,
 )
 from crankchute.core.fleet import Fleet
@@ -38,7 +38,7 @@
         self.engines.is_listening = is_listening
         self.fleet = Fleet()
         self.fleet.replace(
-            [make_listed(f'engine-{one:02}') for one in range(engines)]
+            [make_listed_instance(f'engine-{one:02}') for one in range(engines)]
         )
         ports = DispatcherPorts(
             engines=self.engines,
@@ -48,7 +48,7 @@
         )
         limits = AccountLimits(self.timers.clock)
         self.dispatcher = Dispatcher(ports, self.fleet, limits, 'dc-1')
-        self.dispatcher.config = load_config(1, make_documents())
+        self.dispatcher.config = load_config(1, make_config_documents())
         self.cut_attempts = 0
 
     def submit(self, fingerprint=CRASHING_FINGERPRINT):
@@ -79,7 +79,7 @@
     for _ in range(4):
         sink = harness.submit()
     assert (harness.cut_attempts <= 3) == (is_listening is False)
-    assert sink.ends == 1
+    assert sink.end_count == 1
     is_refused = sink.refusal.code == 'crashes_servers'
     assert is_refused == (is_listening is False)
     if is_refused:
--- a/crankchute/core/engine_chooser.py
+++ b/crankchute/core/engine_chooser.py
@@ -367,7 +367,7 @@
             int(job.size.kv_tokens / len(plan.chosen) * _RESERVATION_MARGIN) + 1
         )
         return tuple(
-            PrefillHelper(backend, self._parts.new_ticket(), share_tokens)
+            PrefillHelper(backend, self._parts.create_ticket_id(), share_tokens)
             for backend in backends
         )
 
--- a/crankchute/core/engine_chooser_test.py
+++ b/crankchute/core/engine_chooser_test.py
@@ -11,7 +11,7 @@
     ForwardHarness,
     make_backends,
     make_job,
-    make_parts,
+    make_chooser_parts,
 )
 from crankchute.core.forward_job import PromptSize, RetryMode
 from crankchute.core.outcomes import Refusal
@@ -30,7 +30,7 @@
         self.timers = ManualTimers()
         self.backends = make_backends(engines)
         self.announced = []
-        parts = make_parts(
+        parts = make_chooser_parts(
             self.timers,
             lambda: self.backends,
             lambda change, work: self.announced.append((change, work.engine)),
@@ -249,7 +249,7 @@
     for backend in world.backends:
         data_centre = 'here' if backend.identity in local else 'there'
         backend.listed.data_centre = data_centre
-    parts = make_parts(world.timers, lambda: world.backends)
+    parts = make_chooser_parts(world.timers, lambda: world.backends)
     parts.data_centre = 'here'
     parts.is_connected = lambda server: server.identity in connected
     world.work_tracker = parts.work_tracker
--- a/crankchute/core/engine_shortlist_test.py
+++ b/crankchute/core/engine_shortlist_test.py
@@ -8,7 +8,11 @@
 from crankchute.core.engine_fakes import make_work_item
 from crankchute.core.engine_shortlist import CandidateFilter
 from crankchute.core.fakes import ManualTimers
-from crankchute.core.forward_fakes import make_backends, make_job, make_parts
+from crankchute.core.forward_fakes import (
+    make_backends,
+    make_job,
+    make_chooser_parts,
+)
 from crankchute.core.forward_job import PromptSize
 
 NO_LIMIT = 10_000
@@ -20,7 +24,7 @@
 def make_chooser(engines, seed, busy):
     """Return an EngineChooser whose engines have random work."""
     backends = make_backends(engines)
-    parts = make_parts(ManualTimers(), lambda: backends)
+    parts = make_chooser_parts(ManualTimers(), lambda: backends)
     parts.random = random.Random(seed)
     for number in range(round(engines * busy * 3)):
         engine = parts.random.choice(backends).identity
@@ -69,7 +73,7 @@
 )
 def test_shortlist_size_is_bounded(engines, is_long, expected):
     backends = make_backends(engines)
-    parts = make_parts(ManualTimers(), lambda: backends)
+    parts = make_chooser_parts(ManualTimers(), lambda: backends)
     parts.random = random.Random(1)
     shortlist = CandidateFilter(parts)
     shortlist.update_members(backends)
@@ -82,7 +86,7 @@
 
 def test_every_engine_is_sampled_eventually():
     backends = make_backends(600)
-    parts = make_parts(ManualTimers(), lambda: backends)
+    parts = make_chooser_parts(ManualTimers(), lambda: backends)
     parts.random = random.Random(1)
     shortlist = CandidateFilter(parts)
     shortlist.update_members(backends)
--- a/crankchute/core/fakes.py
+++ b/crankchute/core/fakes.py
@@ -62,7 +62,7 @@
             due_ms = self._heap.next_due_ms()
         self._clock.time_ms = end_ms
 
-    def jump(self, delay_ms):
+    def suspend(self, delay_ms):
         """Advance the time without running timers, as in a suspended process.
 
         Args:
@@ -138,7 +138,8 @@
 
     Attributes:
       generating: The FakeGenerations that have not ended, a list.
-      asked: Functions of a bool that answer a hold or prefill order, a list.
+      pending_answers: Functions of a bool that answer a hold or prefill order,
+        a list.
       held: Pairs of engine id and group for which memory is held, a set.
       lost_releases: How many of the next releases are lost, an int.
       is_listening: Whether engines' processes still listen, or None if that is
@@ -148,7 +149,7 @@
     def __init__(self):
         """Create the port without calls."""
         self.generating = []
-        self.asked = []
+        self.pending_answers = []
         self.held = set()
         self.lost_releases = 0
         self.is_listening = None
@@ -171,7 +172,7 @@
                 self.held.add((backend.identity, order.group))
             on_done(accepted)
 
-        self.asked.append(answer)
+        self.pending_answers.append(answer)
 
     def release(self, backend, group, on_done):
         """See EnginePort."""
@@ -189,7 +190,7 @@
             export = SegmentExport(address, order.group, order.index, 'c')
             on_done(export if accepted else None)
 
-        self.asked.append(answer)
+        self.pending_answers.append(answer)
         return self
 
     def cancel(self):
@@ -202,13 +203,13 @@
     Attributes:
       job: The Job.
       tokens: The tokens, a list.
-      ends: The number of ends reported, an int.
+      end_count: The number of ends reported, an int.
       count: The number of tokens reported at a regular end, or None.
       refusal: The Refusal, or None.
       first_ms: When the first token arrived, or None.
       ended_ms: When the request ended, or None.
       is_late: Whether a token arrived after the deadline, a bool.
-      gone: Whether the caller disconnected, a bool set by the test.
+      is_caller_gone: Whether the caller disconnected, a bool set by the test.
     """
 
     def __init__(self, job, clock):
@@ -221,13 +222,13 @@
         self._clock = clock
         self.job = job
         self.tokens = []
-        self.ends = 0
+        self.end_count = 0
         self.count = None
         self.refusal = None
         self.first_ms = None
         self.ended_ms = None
         self.is_late = False
-        self.gone = False
+        self.is_caller_gone = False
 
     def on_tokens(self, offset, tokens):
         """See RequestSink."""
@@ -248,11 +249,11 @@
         self._end()
 
     def _end(self):
-        self.ends += 1
+        self.end_count += 1
         self.ended_ms = self._clock.now_ms()
 
 
-def make_documents(**changes):
+def make_config_documents(**changes):
     """Return the documents of a small configuration, encoded as JSON.
 
     Args:
@@ -278,7 +279,7 @@
     }
 
 
-def make_listed(identity, kind='engine', data_centre='dc-1'):
+def make_listed_instance(identity, kind='engine', data_centre='dc-1'):
     """Return an entry of the instance list."""
     return ListedServer(
         {
--- a/crankchute/core/forward_attempt.py
+++ b/crankchute/core/forward_attempt.py
@@ -232,7 +232,7 @@
         until_ms = self._context.stalled_at_ms(self._flow, self)
         if self._reservation is None or self.started:
             return until_ms
-        unused_ms = self._reservation.unused_until_ms
+        unused_ms = self._reservation.use_deadline_ms
         return unused_ms if until_ms is None else min(until_ms, unused_ms)
 
     def _note_overdue(self):
--- a/crankchute/core/forward_desk.py
+++ b/crankchute/core/forward_desk.py
@@ -299,7 +299,7 @@
         Args:
           fields: `forward`, a ForwardPort; `timers`, a TimerService;
             `metrics`, a Metrics port; `journal`, a ForwardJournal;
-            `reservations`, a ReservationDesk; `hints`, RetryHints;
+            `reservations`, a ReservationManager; `hints`, RetryHints;
             `crashes`, a CrashHistory;
             `find_chooser`, a function that maps a pool name to a Chooser or
             None;
--- a/crankchute/core/forward_fakes.py
+++ b/crankchute/core/forward_fakes.py
@@ -18,7 +18,7 @@
 )
 from crankchute.core.limit_desk import ServerRateLimits
 from crankchute.core.return_hints import RetryHints
-from crankchute.core.reservations import ReservationDesk, ReservationPort
+from crankchute.core.reservations import ReservationManager, ReservationPort
 from crankchute.core.sliding_budget import RetryLimits
 from crankchute.ports.forwarding import AnswerSink, ForwardPort
 from crankchute.ports.metrics import Metrics
@@ -58,7 +58,7 @@
         self.cancelled = True
 
 
-class FakePort(ForwardPort):
+class FakeForwardPort(ForwardPort):
     """Records the requests that are sent.
 
     Attributes:
@@ -93,23 +93,23 @@
     """Records memory orders until the test answers them.
 
     Attributes:
-      asked: The unanswered reserve orders, pairs of a PrefillHelper and a
-        callback.
+      pending_orders: The unanswered reserve orders, pairs of a PrefillHelper
+        and a callback.
       released: The tickets of release orders, a list.
       answers_release: Whether release orders are answered, a bool.
     """
 
     def __init__(self):
         """Create the port without orders."""
-        self.asked = []
+        self.pending_orders = []
         self.released = []
         self.answers_release = True
 
     def reserve(self, helper, hold_ms, on_done):
         """See ReservationPort."""
-        self.asked.append((helper, on_done))
+        self.pending_orders.append((helper, on_done))
 
-    def release(self, helper, patience_ms, on_done):
+    def release(self, helper, timeout_ms, on_done):
         """See ReservationPort."""
         self.released.append(helper.ticket)
         on_done(self.answers_release)
@@ -120,8 +120,8 @@
         Args:
           is_done: True, False or None; see ReservationPort.reserve.
         """
-        pending = self.asked
-        self.asked = []
+        pending = self.pending_orders
+        self.pending_orders = []
         for _helper, on_done in pending:
             on_done(is_done)
 
@@ -159,13 +159,13 @@
 
         self._send(execute, _RESERVE_TIMEOUT_MS, on_answer)
 
-    def release(self, helper, patience_ms, on_done):
+    def release(self, helper, timeout_ms, on_done):
         """See ReservationPort."""
 
         def execute():
             self.held_until_ms.pop(helper.ticket, None)
 
-        self._send(execute, patience_ms, on_done)
+        self._send(execute, timeout_ms, on_done)
 
     def is_held(self, ticket):
         """Tell whether memory is reserved.
@@ -189,35 +189,35 @@
     """Records what a caller would receive.
 
     Attributes:
-      seen: A list of pairs of an event's name and its main value.
-      hint_ms: The retry delay of a refusal, in milliseconds, or None.
+      events: A list of pairs of an event's name and its main value.
+      retry_after_ms: The retry delay of a refusal, in milliseconds, or None.
     """
 
     def __init__(self):
         """Create the sink without an answer."""
-        self.seen = []
-        self.hint_ms = None
+        self.events = []
+        self.retry_after_ms = None
 
     def on_answer(self, head, body):
         """See AnswerSink."""
-        self.seen.append(('answer', head.status))
+        self.events.append(('answer', head.status))
 
     def on_head(self, head):
         """See AnswerSink."""
-        self.seen.append(('head', head.status))
+        self.events.append(('head', head.status))
 
     def on_event(self, event):
         """See AnswerSink."""
-        self.seen.append(('event', event.number))
+        self.events.append(('event', event.number))
 
     def on_end(self):
         """See AnswerSink."""
-        self.seen.append(('end', None))
+        self.events.append(('end', None))
 
     def on_refused(self, refusal):
         """See AnswerSink."""
-        self.seen.append(('refused', refusal.outcome))
-        self.hint_ms = refusal.retry_after_ms
+        self.events.append(('refused', refusal.outcome))
+        self.retry_after_ms = refusal.retry_after_ms
 
 
 class FakeJournal:
@@ -245,7 +245,7 @@
     def log_crash(self, backend, fingerprints):
         """See ForwardJournal."""
 
-    def log_set_aside(self, request_id, helpers, refused, took_ms):
+    def log_reserved(self, request_id, helpers, refused, took_ms):
         """See ForwardJournal."""
         refused_tickets = [helper.ticket for helper in refused]
         self.memory_events.append(('reservation', refused_tickets, took_ms))
@@ -254,9 +254,9 @@
         """See ForwardJournal."""
         self.memory_events.append(('unanswered', name, helper.ticket))
 
-    def log_released(self, request_id, helper, tries):
+    def log_released(self, request_id, helper, attempts):
         """See ForwardJournal."""
-        self.memory_events.append(('released', helper.ticket, tries))
+        self.memory_events.append(('released', helper.ticket, attempts))
 
     def log_end(self, flow, outcome, code):
         """See ForwardJournal."""
@@ -268,17 +268,17 @@
 
     Attributes:
       helpers: The PrefillHelpers of the next placements, a tuple.
-      freed: The placements that ended, a list.
-      allowed_ms: How long servers may be silent, in milliseconds, or None for
-        no limit.
+      ended_placements: The placements that ended, a list.
+      max_silence_ms: How long servers may be silent, in milliseconds, or None
+        for no limit.
     """
 
     def __init__(self, parts):
         """See Chooser."""
         super().__init__(parts)
         self.helpers = ()
-        self.freed = []
-        self.allowed_ms = None
+        self.ended_placements = []
+        self.max_silence_ms = None
 
     def choose(self, job, avoided):
         """See Chooser."""
@@ -289,13 +289,13 @@
 
     def stalled_at_ms(self, job, attempt):
         """See Chooser."""
-        if self.allowed_ms is None:
+        if self.max_silence_ms is None:
             return None
-        return attempt.last_event_ms + self.allowed_ms
+        return attempt.last_event_ms + self.max_silence_ms
 
     def note_end(self, job, placement):
         """See Chooser."""
-        self.freed.append(placement)
+        self.ended_placements.append(placement)
 
 
 class ForwardHarness:
@@ -303,9 +303,9 @@
 
     Attributes:
       timers: ManualTimers.
-      port: A FakePort.
+      port: A FakeForwardPort.
       reservations: A FakeReservations.
-      reservation_desk: The ReservationDesk that uses these reservations.
+      reservation_manager: The ReservationManager that uses these reservations.
       chooser: A FirstChooser.
       crashes: The CrashHistory.
       desk: The Forwarder.
@@ -322,16 +322,16 @@
         """
         self.timers = ManualTimers()
         self.moved = []
-        self.port = FakePort()
+        self.port = FakeForwardPort()
         self.reservations = FakeReservations()
         self.journal = FakeJournal()
         self.crashes = CrashHistory(self.timers.clock.now_ms)
         self.backends = make_backends(servers)
         metrics = Metrics()
         self.chooser = FirstChooser(
-            make_parts(self.timers, lambda: self.backends)
+            make_chooser_parts(self.timers, lambda: self.backends)
         )
-        self.reservation_desk = ReservationDesk(
+        self.reservation_manager = ReservationManager(
             self.reservations,
             self.timers,
             metrics,
@@ -343,7 +343,7 @@
             timers=self.timers,
             metrics=metrics,
             journal=self.journal,
-            reservations=self.reservation_desk,
+            reservations=self.reservation_manager,
             hints=RetryHints(Random(1)),
             crashes=self.crashes,
             note_moved=self.moved.append,
@@ -413,7 +413,7 @@
     return EngineFigures(**fields)
 
 
-def make_parts(timers, members, announce_work=None):
+def make_chooser_parts(timers, members, announce_work=None):
     """Return ChooserParts with fixed random choices.
 
     Args:
@@ -433,7 +433,7 @@
         hints=RetryHints(_FixedRandom()),
         data_centre='',
         is_connected=_ignore,
-        new_ticket=lambda: f'ticket-{next(ticket_numbers)}',
+        create_ticket_id=lambda: f'ticket-{next(ticket_numbers)}',
         permits=ServerRateLimits(timers, 'entry-0', 'boot').permits,
     )
 
--- a/crankchute/core/forward_flow_test.py
+++ b/crankchute/core/forward_flow_test.py
@@ -75,9 +75,9 @@
     harness = ForwardHarness()
     _flow, sink = harness.submit(repeat=repeat)
     for response in responses:
-        if not sink.seen:
+        if not sink.events:
             RESPONSES[response](harness.port.calls[-1])
-    assert sink.seen == [expected]
+    assert sink.events == [expected]
     assert harness.desk.in_progress == 0
 
 
@@ -99,7 +99,7 @@
     send_events(retry, *second)
     retry.listener.on_end()
     events = [('event', number) for number in expected]
-    assert sink.seen == [('head', 200), *events, ('end', None)]
+    assert sink.events == [('head', 200), *events, ('end', None)]
 
 
 def test_non_repeatable_stream_is_not_resumed():
@@ -107,7 +107,7 @@
     _flow, sink = harness.submit(repeat=ONCE, is_stream=True)
     send_events(harness.port.calls[0], 1)
     fail(harness.port.calls[0])
-    assert sink.seen[-1] == FAILED
+    assert sink.events[-1] == FAILED
     assert len(harness.port.calls) == 1
 
 
@@ -115,7 +115,7 @@
     harness = ForwardHarness(slack=0)
     _flow, sink = harness.submit(repeat=AGAIN)
     fail(harness.port.calls[0])
-    assert sink.seen == [FAILED]
+    assert sink.events == [FAILED]
     assert len(harness.port.calls) == 1
 
 
@@ -133,9 +133,9 @@
     _flow, sink = harness.submit(repeat=repeat, deadline_ms=500)
     harness.port.calls[0].sent = sent
     harness.timers.advance(499)
-    assert sink.seen == []
+    assert sink.events == []
     harness.timers.advance(2)
-    assert sink.seen == [expected]
+    assert sink.events == [expected]
     assert harness.port.calls[0].cancelled
 
 
@@ -143,9 +143,9 @@
     """The process was suspended, so the deadline timer is late as well."""
     harness = ForwardHarness()
     _flow, sink = harness.submit(repeat=RESUME, is_stream=True, deadline_ms=500)
-    harness.timers.jump(800)
+    harness.timers.suspend(800)
     send_events(harness.port.calls[0], 1)
-    assert sink.seen == [FAILED]
+    assert sink.events == [FAILED]
 
 
 def test_cancelled_request_cancels_its_attempt():
@@ -153,14 +153,14 @@
     flow, sink = harness.submit()
     flow.cancel()
     assert harness.port.calls[0].cancelled
-    assert sink.seen == []
+    assert sink.events == []
     assert harness.desk.in_progress == 0
 
 
 def test_unknown_pool_is_refused():
     harness = ForwardHarness()
     _flow, sink = harness.submit(pool='elsewhere')
-    assert sink.seen == [NOT_RUN]
+    assert sink.events == [NOT_RUN]
 
 
 @pytest.mark.parametrize('phase', ['reserving', 'running', 'ended'])
@@ -179,7 +179,7 @@
     else:
         flow.cancel()
     assert harness.reservations.released == ['ticket-1']
-    assert len(harness.chooser.freed) == 1
+    assert len(harness.chooser.ended_placements) == 1
 
 
 @pytest.mark.parametrize('is_done', [False, None])
@@ -195,7 +195,7 @@
     assert harness.reservations.released == ['ticket-1']
     chosen = harness.port.calls[0].placement.backend
     assert chosen is harness.backends[1]
-    assert sink.seen == []
+    assert sink.events == []
 
 
 def test_reservation_is_renewed_while_in_use():
@@ -206,11 +206,13 @@
     flow, _sink = harness.submit(repeat=RESUME, is_stream=True)
     harness.reservations.answer(is_done=True)
     harness.timers.advance(1300)
-    assert [one.ticket for one, _ in harness.reservations.asked] == ['ticket-1']
+    assert [one.ticket for one, _ in harness.reservations.pending_orders] == [
+        'ticket-1'
+    ]
     harness.reservations.answer(is_done=True)
     flow.cancel()
     harness.timers.advance(3000)
-    assert harness.reservations.asked == []
+    assert harness.reservations.pending_orders == []
 
 
 def test_unanswered_release_is_repeated_until_reservation_expires():
@@ -233,7 +235,7 @@
 
 def test_only_stalled_attempt_is_cancelled():
     harness = ForwardHarness()
-    harness.chooser.allowed_ms = 1000
+    harness.chooser.max_silence_ms = 1000
     _flow, sink = harness.submit(repeat=RESUME, is_stream=True)
     for number in range(1, 4):
         harness.timers.advance(900)
@@ -242,7 +244,7 @@
     harness.timers.advance(1100)
     assert harness.port.calls[0].cancelled
     assert harness.port.calls[1].order.resume_after == 3
-    assert sink.seen[-1] == ('event', 3)
+    assert sink.events[-1] == ('event', 3)
 
 
 @pytest.mark.parametrize(
@@ -309,7 +311,7 @@
     harness.desk.note_restarted(call.placement.backend)
     assert call.cancelled
     assert len(harness.port.calls) == calls
-    assert sink.seen == expected
+    assert sink.events == expected
 
 
 def test_attempt_ends_when_its_helper_restarts():
@@ -331,7 +333,7 @@
         if one is not harness.port.calls[0].placement.backend
     )
     harness.desk.note_restarted(other)
-    assert (len(harness.port.calls), sink.seen) == (1, [])
+    assert (len(harness.port.calls), sink.events) == (1, [])
 
 
 @pytest.mark.parametrize('servers', [0, 3])
@@ -343,7 +345,7 @@
         _flow, sink = harness.submit(max_attempts=1)
         if servers:
             harness.port.calls[-1].listener.on_not_run(FULL)
-        assert sink.seen == [NOT_RUN]
-        assert 200 <= sink.hint_ms <= 400
-        hints.add(round(sink.hint_ms))
+        assert sink.events == [NOT_RUN]
+        assert 200 <= sink.retry_after_ms <= 400
+        hints.add(round(sink.retry_after_ms))
     assert len(hints) > 10
--- a/crankchute/core/group_flow.py
+++ b/crankchute/core/group_flow.py
@@ -41,7 +41,7 @@
         self.export = None
 
 
-class GroupShare:
+class FinalSegment:
     """What the last engine of a group needs beyond a usual order."""
 
     __slots__ = ('_exports', '_group', '_segment')
@@ -204,7 +204,7 @@
         placement = Placement(
             last.backend,
             first_ms=self._context.predict_ms(last.backend, self.job),
-            key=GroupShare(last.segment, self._group, exports),
+            key=FinalSegment(last.segment, self._group, exports),
         )
         self._launch(placement)
 
--- a/crankchute/core/group_flow_test.py
+++ b/crankchute/core/group_flow_test.py
@@ -10,9 +10,9 @@
     FakeEngines,
     ManualTimers,
     RecordingSink,
-    make_documents,
+    make_config_documents,
     make_job,
-    make_listed,
+    make_listed_instance,
     make_load,
 )
 from crankchute.core.fleet import Fleet
@@ -37,7 +37,9 @@
         self.timers = ManualTimers()
         self.engines = FakeEngines()
         fleet = Fleet()
-        fleet.replace([make_listed(f'engine-{number}') for number in range(3)])
+        fleet.replace(
+            [make_listed_instance(f'engine-{number}') for number in range(3)]
+        )
         for backend in fleet:
             fleet.note_load(backend, make_load(0))
         ports = DispatcherPorts(
@@ -48,11 +50,11 @@
         )
         limits = AccountLimits(self.timers.clock)
         self.dispatcher = Dispatcher(ports, fleet, limits, 'dc-1')
-        self.dispatcher.config = load_config(1, make_documents())
+        self.dispatcher.config = load_config(1, make_config_documents())
         job = make_job(tokens=900_000, deadline_ms=60_000)
         sink = RecordingSink(job, self.timers.clock)
         self.flow = self.dispatcher.submit(job, sink)
-        self.engines.asked.pop()(True)
+        self.engines.pending_answers.pop()(True)
 
 
 @pytest.mark.parametrize('lost_releases', [0, 1, 3])
--- a/crankchute/core/lease.py
+++ b/crankchute/core/lease.py
@@ -16,7 +16,7 @@
 _RESERVE_RETRY_MS = 60
 #: Timeout of all reserve attempts together, in milliseconds; another engine is
 #: chosen after it.
-_ASK_MS = 250
+_RESERVE_TIMEOUT_MS = 250
 #: How long an engine keeps memory that is not renewed.  Shorter than the four
 #: seconds after which unused memory counts as leaked, and longer than two
 #: renewal intervals, so that a single lost renewal is harmless.
@@ -63,7 +63,7 @@
         """Create the lease without sending an order.
 
         Args:
-          desk: The ReservationDesk.
+          desk: The ReservationManager.
           request_id: The id of the request, for logs.
           helper: A PrefillHelper with a ticket.
         """
@@ -94,7 +94,9 @@
             for attempt in range(1, _RESERVE_ATTEMPTS)
         ]
         self._acquire_timers.append(
-            timers.after(_ASK_MS, lambda: self._finish_acquire(None))
+            timers.after(
+                _RESERVE_TIMEOUT_MS, lambda: self._finish_acquire(None)
+            )
         )
         self._try_acquire()
 
--- a/crankchute/core/lease_machine_test.py
+++ b/crankchute/core/lease_machine_test.py
@@ -19,7 +19,7 @@
     make_backends,
 )
 from crankchute.core.forward_job import PrefillHelper
-from crankchute.core.reservations import ReservationDesk
+from crankchute.core.reservations import ReservationManager
 from crankchute.ports.metrics import Metrics
 
 #: How long memory may be reserved without being used, in milliseconds.
@@ -69,7 +69,7 @@
         self.port = DelayedReservations(self.timers)
         self.port.delay_ms = _NORMAL_DELAY_MS
         self.backends = make_backends(_HELPER_COUNT)
-        self.desk = ReservationDesk(
+        self.desk = ReservationManager(
             self.port,
             self.timers,
             Metrics(),
@@ -91,7 +91,7 @@
     def reserve(self):
         """Reserve memory for a new request."""
         helpers = [
-            PrefillHelper(backend, self.desk.new_ticket(), 100)
+            PrefillHelper(backend, self.desk.create_ticket_id(), 100)
             for backend in self.backends
         ]
         self.requests.append(RequestModel(self.desk, helpers))
@@ -167,7 +167,7 @@
         """Tell whether an attempt would release its unused memory now."""
         if request.refused:
             return True
-        is_expired = self._now_ms() >= request.reservation.unused_until_ms
+        is_expired = self._now_ms() >= request.reservation.use_deadline_ms
         return is_expired and not request.is_used
 
     def _is_settled(self, ended_ms):
--- a/crankchute/core/once_machine_test.py
+++ b/crankchute/core/once_machine_test.py
@@ -17,7 +17,11 @@
 
 from crankchute.core.config_check import load_config
 from crankchute.core.dispatcher import DispatcherPorts
-from crankchute.core.fakes import ManualTimers, make_documents, make_listed
+from crankchute.core.fakes import (
+    ManualTimers,
+    make_config_documents,
+    make_listed_instance,
+)
 from crankchute.core.fleet import Fleet
 from crankchute.core.forward_fakes import FakeJournal
 from crankchute.core.keys import Binding, Claim, KeyLedger, RequestKey
@@ -68,7 +72,7 @@
         self.services = FakeServices()
         fleet = Fleet()
         names = ('service-0', 'service-1')
-        fleet.replace([make_listed(name, 'service') for name in names])
+        fleet.replace([make_listed_instance(name, 'service') for name in names])
         ports = DispatcherPorts(
             engines=None,
             timers=self.timers,
@@ -81,7 +85,7 @@
             self.services,
             FakeJournal(),
         )
-        self.router.config = load_config(1, make_documents())
+        self.router.config = load_config(1, make_config_documents())
         binding = Binding('entry-1', f'boot-{self.boot}')
         self.ledger = KeyLedger(binding, _LONGEST_MS)
 
--- a/crankchute/core/placing_test.py
+++ b/crankchute/core/placing_test.py
@@ -15,9 +15,9 @@
 from crankchute.core.config_check import load_config
 from crankchute.core.fair_queue import FairQueue
 from crankchute.core.fakes import (
-    make_documents,
+    make_config_documents,
     make_job,
-    make_listed,
+    make_listed_instance,
     make_load,
 )
 from crankchute.core.fleet import Backend, Fleet
@@ -34,7 +34,7 @@
 
 def _fleet(**loads):
     fleet = Fleet()
-    fleet.replace([make_listed(name) for name in _NAMES])
+    fleet.replace([make_listed_instance(name) for name in _NAMES])
     for backend in fleet:
         changes = loads.get(backend.identity.replace('-', '_'), {})
         fleet.note_load(backend, make_load(0, **changes))
@@ -99,13 +99,13 @@
 def test_ineligible_engines_are_no_candidates(change, remaining):
     """An engine that is leaving or lacks the model gets no new work."""
     fleet = _fleet(engine_0=change)
-    config = load_config(1, make_documents())
+    config = load_config(1, make_config_documents())
     assert len(list_candidates(config, fleet, make_job(), 0)) == remaining
 
 
 def test_silent_engines_are_no_candidates():
     """An engine with a stale load report gets no new work."""
-    config = load_config(1, make_documents())
+    config = load_config(1, make_config_documents())
     assert not list_candidates(config, _fleet(), make_job(), 10_000)
 
 
@@ -119,7 +119,7 @@
         'long_share': 0.5,
     }
     service = {'name': 'booking', 'kind': 'service', 'selector': {}}
-    config = load_config(1, make_documents(pools=[pool, service]))
+    config = load_config(1, make_config_documents(pools=[pool, service]))
     job = make_job(tokens=90_000)
     chosen = list_candidates(config, _fleet(), job, 0)
     repeated = list_candidates(config, _fleet(), job, 0)
@@ -297,7 +297,7 @@
 
 def test_restarted_engine_loses_its_prefix_cache():
     """A new boot id means that the cache is empty."""
-    backend = Backend(make_listed('engine-0'))
+    backend = Backend(make_listed_instance('engine-0'))
     backend.note_load(make_load(0))
     backend.prefix.note_event(1, [7], [], 0)
     backend.note_load(make_load(1, boot='another'))
--- a/crankchute/core/request_placing_test.py
+++ b/crankchute/core/request_placing_test.py
@@ -59,7 +59,7 @@
 
 @pytest.mark.parametrize('choice', [PLACEMENT, CRASHING, OVERLOADED])
 def test_turn_is_borrowed_only_if_that_is_all_that_is_missing(choice):
-    """For instance, no permit is borrowed for a request that crashes servers."""
+    """A request that crashes servers, for instance, borrows no permit."""
     world = World(choice, LENT_PLACEMENT)
     outcomes = []
     place_request(world, world, set(), outcomes.append)
--- a/crankchute/core/reservations.py
+++ b/crankchute/core/reservations.py
@@ -36,12 +36,12 @@
         """
 
     @abc.abstractmethod
-    def release(self, helper, patience_ms, on_done):
+    def release(self, helper, timeout_ms, on_done):
         """Release reserved memory.
 
         Args:
           helper: A PrefillHelper with a ticket.
-          patience_ms: Timeout of the order and its answer, in milliseconds.
+          timeout_ms: Timeout of the order and its answer, in milliseconds.
           on_done: A function of a bool, whether the engine answered.
         """
 
@@ -50,7 +50,7 @@
     """The memory of one attempt, reserved at all its engines or at none.
 
     Attributes:
-      unused_until_ms: When the attempt must release the memory if it has not
+      use_deadline_ms: When the attempt must release the memory if it has not
         been used by then, on this process's clock.
     """
 
@@ -65,14 +65,14 @@
         '_renewal_timer',
         '_request_id',
         '_start_ms',
-        'unused_until_ms',
+        'use_deadline_ms',
     )
 
     def __init__(self, desk, request_id, helpers, on_done):
         """Create the reservation; start() sends the orders.
 
         Args:
-          desk: The ReservationDesk.
+          desk: The ReservationManager.
           request_id: The id of the request, for logs.
           helpers: PrefillHelpers with tickets.
           on_done: A function of a list of the PrefillHelpers whose engines
@@ -88,7 +88,7 @@
         self._start_ms = desk.now_ms()
         self._ended = False
         self._is_used = False
-        self.unused_until_ms = self._start_ms + desk.unused_ms
+        self.use_deadline_ms = self._start_ms + desk.max_unused_ms
 
     def start(self):
         """Send reserve orders to all engines."""
@@ -123,7 +123,7 @@
         lease.acquire(on_acquired)
 
     def _on_all_answered(self):
-        self._desk.journal.log_set_aside(
+        self._desk.journal.log_reserved(
             self._request_id,
             [lease.helper for lease in self._leases],
             self._refused,
@@ -153,7 +153,7 @@
             self._desk.metrics.count('renewals_lost')
 
 
-class ReservationDesk:
+class ReservationManager:
     """Manages the reservations of one instance.
 
     Attributes:
@@ -161,8 +161,8 @@
       timers: A TimerService.
       metrics: A Metrics port.
       journal: A ForwardJournal, which logs the orders and their outcomes.
-      unused_ms: How long an attempt may keep memory that it has not used, in
-        milliseconds.
+      max_unused_ms: How long an attempt may keep memory that it has not used,
+        in milliseconds.
       unused_renewal_ms: How long such memory is renewed, in milliseconds.
     """
 
@@ -195,12 +195,12 @@
           max_unused_ms: How long memory may be reserved without being used,
             in milliseconds.
         """
-        self.unused_ms = max_unused_ms - _NETWORK_DELAY_MS
+        self.max_unused_ms = max_unused_ms - _NETWORK_DELAY_MS
         # The last renewal expires within the limit, so that the limit holds
         # even if this instance fails before it releases the memory.
-        self.unused_renewal_ms = self.unused_ms - HOLD_MS
+        self.unused_renewal_ms = self.max_unused_ms - HOLD_MS
 
-    def new_ticket(self):
+    def create_ticket_id(self):
         """Return a unique ticket id."""
         return f'{self._owner}-{next(self._ticket_numbers)}'
 
--- a/crankchute/core/reservations_test.py
+++ b/crankchute/core/reservations_test.py
@@ -14,7 +14,7 @@
 )
 from crankchute.core.forward_job import PrefillHelper, RetryMode
 from crankchute.core.lease import RELEASE, RESERVE
-from crankchute.core.reservations import ReservationDesk
+from crankchute.core.reservations import ReservationManager
 from crankchute.ports.metrics import Metrics
 
 #: The platform's limits, in milliseconds: within what time memory must be free
@@ -33,7 +33,7 @@
         self.port = self.harness.reservations
         self.refusals = []
         self.helper = PrefillHelper(self.harness.backends[1], 'ticket-1', 100)
-        self.reservation = self.harness.reservation_desk.reserve(
+        self.reservation = self.harness.reservation_manager.reserve(
             'r1',
             [self.helper],
             self.refusals.append,
@@ -70,11 +70,11 @@
     pending = PendingReservation()
     sent_count = 0
     for is_done in answers:
-        sent_count += len(pending.port.asked)
+        sent_count += len(pending.port.pending_orders)
         pending.port.answer(is_done)
         pending.harness.timers.advance(60)
     pending.harness.timers.advance(250)
-    sent_count += len(pending.port.asked)
+    sent_count += len(pending.port.pending_orders)
     assert sent_count == order_count
     tickets = [
         [helper.ticket for helper in refused] for refused in pending.refusals
@@ -110,7 +110,7 @@
     def __init__(self):
         self.timers = ManualTimers()
         self.port = DelayedReservations(self.timers)
-        desk = ReservationDesk(
+        desk = ReservationManager(
             self.port,
             self.timers,
             Metrics(),
@@ -188,7 +188,7 @@
     """The last renewal and the release are delayed like all orders."""
     held = HeldReservation()
     held.port.delay_ms = delay_ms
-    held.timers.advance(held.reservation.unused_until_ms)
+    held.timers.advance(held.reservation.use_deadline_ms)
     held.reservation.release()
-    held.timers.advance(MAX_UNUSED_MS - held.reservation.unused_until_ms)
+    held.timers.advance(MAX_UNUSED_MS - held.reservation.use_deadline_ms)
     assert not held.is_held()
--- a/crankchute/core/service_flow.py
+++ b/crankchute/core/service_flow.py
@@ -200,7 +200,7 @@
             random=self._ports.random,
             work_tracker=None,
             announce_work=None,
-            new_ticket=None,
+            create_ticket_id=None,
             last_peer_message_age_ms=None,
             hints=self._hints,
             data_centre=None,
--- a/crankchute/core/single_flow.py
+++ b/crankchute/core/single_flow.py
@@ -104,7 +104,7 @@
         self._metrics = metrics
 
     def send(self, job, placement, attempt, listener):
-        """See ForwardPort; the placement's key is a GroupShare or None."""
+        """See ForwardPort; the placement's key is a FinalSegment or None."""
         order = GenerateOrder(
             job,
             attempt.number,
--- a/crankchute/core/suspicion_test.py
+++ b/crankchute/core/suspicion_test.py
@@ -9,7 +9,7 @@
     ForwardHarness,
     make_backends,
     make_job,
-    make_parts,
+    make_chooser_parts,
 )
 from crankchute.core.forward_job import PromptSize
 from crankchute.core.suspicion import OutcomeCounts, FailureEstimator
@@ -57,7 +57,7 @@
 def test_server_that_failed_for_another_instance_is_avoided(chooser_class):
     timers = ManualTimers()
     backends = make_backends(3)
-    chooser = chooser_class(make_parts(timers, lambda: backends))
+    chooser = chooser_class(make_chooser_parts(timers, lambda: backends))
     job = make_job(size=SHORT)
     first = chooser.choose(job, set()).backend
     first.suspicion.merge_remote('another', OutcomeCounts(1, 0, 0))
@@ -75,7 +75,7 @@
     backends = make_backends(8)
     for backend in backends[4:6]:
         backend.suspicion.merge_remote('another', OutcomeCounts(1, 19, 0))
-    chooser = EngineChooser(make_parts(timers, lambda: backends))
+    chooser = EngineChooser(make_chooser_parts(timers, lambda: backends))
     chosen = []
     for _ in range(35):
         job = make_job(size=SHORT)
@@ -91,7 +91,9 @@
     backends = make_backends(2)
     for backend in backends:
         backend.suspicion.merge_remote('another', OutcomeCounts(9, 0, 0))
-    chooser = chooser_class(make_parts(ManualTimers(), lambda: backends))
+    chooser = chooser_class(
+        make_chooser_parts(ManualTimers(), lambda: backends)
+    )
     assert chooser.choose(make_job(size=SHORT), set()).backend in backends
 
 
--- a/crankchute/entry/forward_node.py
+++ b/crankchute/entry/forward_node.py
@@ -22,7 +22,7 @@
 from crankchute.core.forward_desk import Forwarder, ForwarderPorts
 from crankchute.core.forward_fleet import ForwardFleet
 from crankchute.core.load_survey import InitialLoadPoll
-from crankchute.core.reservations import ReservationDesk
+from crankchute.core.reservations import ReservationManager
 from crankchute.core.return_hints import RetryHints
 from crankchute.core.server_list import ServerList
 from crankchute.entry.forward_peers import ForwardPeers
@@ -155,7 +155,7 @@
         self._has_listed = False
         self._stop_ms = None
         self.journal = ForwardJournal(self.holder, self.timers.clock)
-        self._reservations = ReservationDesk(
+        self._reservations = ReservationManager(
             wiring.reservations,
             self.timers,
             self.metrics,
@@ -360,7 +360,7 @@
             work_tracker=self.work_tracker,
             hints=self._hints,
             announce_work=self._note_work,
-            new_ticket=self._reservations.new_ticket,
+            create_ticket_id=self._reservations.create_ticket_id,
             last_peer_message_age_ms=self.peers.sharing.last_peer_message_age_ms,
             data_centre=self.identity.data_centre,
             is_connected=self._is_connected,
--- a/crankchute/entry/forward_node_test.py
+++ b/crankchute/entry/forward_node_test.py
@@ -8,7 +8,7 @@
 from crankchute.core.forward_config import ForwardConfig, PoolConfig
 from crankchute.core.forward_fakes import (
     POOL,
-    FakePort,
+    FakeForwardPort,
     FakeReservations,
     FakeSink,
     make_figures,
@@ -37,7 +37,7 @@
     def __init__(self, figures=None):
         self.reports = FakeReports()
         self.loop = Loop()
-        self.port = FakePort()
+        self.port = FakeForwardPort()
         peer_port, caller_port = pick_ports(2)
         identity = InstanceIdentity(
             'one',
@@ -123,7 +123,7 @@
             world.answer()
     world.loop.run_until(lambda: bool(world.stopped), _TICK_S)
     for sink in sinks:
-        assert sink.seen == [('answer', 200)]
+        assert sink.events == [('answer', 200)]
 
 
 def test_first_request_to_an_engine_asks_for_its_load():
@@ -148,7 +148,7 @@
     assert len(world.node.work_tracker.state('s1@200').works) == 1
     world.port.calls.pop(0)
     world.answer()
-    assert sink.seen == [('answer', 200)]
+    assert sink.events == [('answer', 200)]
     assert not world.node.work_tracker.state('s1@200').works
 
 
--- a/crankchute/platform/engine_orders.py
+++ b/crankchute/platform/engine_orders.py
@@ -39,17 +39,17 @@
         }
         self._order(helper, document, _ORDER_MS, on_done)
 
-    def release(self, helper, patience_ms, on_done):
+    def release(self, helper, timeout_ms, on_done):
         """See ReservationPort."""
         document = {'op': 'release', 'id': helper.ticket}
         self._order(
             helper,
             document,
-            patience_ms,
+            timeout_ms,
             lambda is_done: on_done(is_done is not None),
         )
 
-    def _order(self, helper, document, patience_ms, on_done):
+    def _order(self, helper, document, timeout_ms, on_done):
         """Send an order and tell one end: done, refused, or no answer."""
         pending = _Pending(on_done)
         payload = build_request(
@@ -63,8 +63,8 @@
             lambda status, _body: pending.end(status in _DONE),
             lambda _exc: pending.end(None),
         )
-        options = CallOptions(idle_ms=_IDLE_MS, connect_ms=patience_ms)
-        pending.guard = self._timers.after(patience_ms, pending.time_out)
+        options = CallOptions(idle_ms=_IDLE_MS, connect_ms=timeout_ms)
+        pending.guard = self._timers.after(timeout_ms, pending.time_out)
         pending.call = self._calls.send(
             helper.backend,
             payload,
--- a/crankchute/platform/forwarding_test.py
+++ b/crankchute/platform/forwarding_test.py
@@ -26,7 +26,7 @@
 )
 from crankchute.core.forward_job import PromptSize, RetryMode
 from crankchute.core.outcomes import Outcome
-from crankchute.core.reservations import ReservationDesk
+from crankchute.core.reservations import ReservationManager
 from crankchute.core.limit_desk import ServerRateLimits
 from crankchute.core.return_hints import RetryHints
 from crankchute.core.sliding_budget import RetryLimits
@@ -67,7 +67,7 @@
             for number in range(engines)
         ]
         self.backends = [_list_engine(one) for one in self.engines]
-        reservations = ReservationDesk(
+        reservations = ReservationManager(
             EngineOrders(calls, self.loop.timers),
             self.loop.timers,
             Metrics(),
@@ -112,7 +112,7 @@
         sink = FakeSink()
         flow = self.desk.submit(job, sink)
         self.loop.run_until(lambda: flow.ended, _TICK_S)
-        return tuple(sink.seen)
+        return tuple(sink.events)
 
     def wait_free(self):
         """Wait until no engine keeps memory for anybody, not for ever."""
@@ -140,19 +140,19 @@
             hints=RetryHints(random.Random(1)),
             data_centre='',
             is_connected=lambda _backend: False,
-            new_ticket=reservations.new_ticket,
+            create_ticket_id=reservations.create_ticket_id,
             permits=ServerRateLimits(timers, 'entry-0', 'boot').permits,
         )
 
 
 @pytest.fixture(autouse=True)
-def patient_orders(monkeypatch):
+def long_order_timeout(monkeypatch):
     """Let orders take longer than a busy machine needs for one.
 
     With 40 such processes at once an order took over the 250 ms after which
     another engine is asked, and no engine was left.
     """
-    monkeypatch.setattr('crankchute.core.lease._ASK_MS', _ORDER_MS)
+    monkeypatch.setattr('crankchute.core.lease._RESERVE_TIMEOUT_MS', _ORDER_MS)
     monkeypatch.setattr(
         'crankchute.platform.engine_orders._ORDER_MS', _ORDER_MS
     )
--- a/crankchute/platform/limited_servers_test.py
+++ b/crankchute/platform/limited_servers_test.py
@@ -129,7 +129,7 @@
     sink, finish = world.submit(world.nodes[0], SOUND)
     assert finish()[0] == 'refused'
     assert [len(one.reached_ms) for one in world.engines] == before
-    assert 1000 < sink.hint_ms
+    assert 1000 < sink.retry_after_ms
 
 
 def change_nothing(world):
--- a/crankchute/platform/resting_servers_test.py
+++ b/crankchute/platform/resting_servers_test.py
@@ -48,7 +48,7 @@
     sink, finish = world.submit(world.nodes[0], SOUND)
     assert finish() == ('refused', Outcome.NOT_RUN)
     assert [one.arrivals for one in world.engines] == before
-    assert 15_000 < sink.hint_ms <= 20_000 * 1.25
+    assert 15_000 < sink.retry_after_ms <= 20_000 * 1.25
 
 
 @pytest.mark.parametrize('ask', [ask_for_memory, ask_for_report])
--- a/crankchute/platform/standin_world.py
+++ b/crankchute/platform/standin_world.py
@@ -185,7 +185,7 @@
 
         def finish():
             self.loop.run_until(lambda: flow.ended, _TICK_S)
-            return sink.seen[-1]
+            return sink.events[-1]
 
         return sink, finish
 
