--- a/bench/ablations.py
+++ b/bench/ablations.py
@@ -155,8 +155,8 @@
 _leave_out(
     'overdue signs',
     f'{_CORE}/forward_attempt.py',
-    'self.backend.suspicion.note_failure(self._context.now_ms())',
-    'self.backend.suspicion.note_failure(self._context.now_ms(), 0)',
+    'self.backend.suspicion.record_failure(self._context.now_ms())',
+    'self.backend.suspicion.record_failure(self._context.now_ms(), 0)',
 )
 _leave_out(
     'probing of silent hosts',
--- a/bench/capacity_core.py
+++ b/bench/capacity_core.py
@@ -151,7 +151,7 @@
     dispatcher = Dispatcher(ports, fleet, limits, 'dc-1')
     dispatcher.config = load_config(1, make_config_documents())
     for backend in list(fleet)[:_REPORTING]:
-        fleet.note_load(backend, make_load(0))
+        fleet.record_load(backend, make_load(0))
     return dispatcher, ports.engines, timers.clock
 
 
--- a/bench/crash_ways.py
+++ b/bench/crash_ways.py
@@ -108,7 +108,7 @@
         server.runs[run] = True
         is_culprit = job.fingerprint in _CULPRITS
         if is_culprit:
-            world.note_arrival(job.fingerprint)
+            world.record_arrival(job.fingerprint)
         low_ms, high_ms = _END_MS if is_culprit else _RUN_MS
         length_ms = world.random.uniform(low_ms, high_ms)
         ended = partial(self._finish, run, job.fingerprint)
@@ -183,7 +183,7 @@
             self.timers.after(at_ms, self._cut_connection)
         self.timers.advance(_LENGTH_MS * 2)
 
-    def note_arrival(self, culprit):
+    def record_arrival(self, culprit):
         """Count an arrival of a culprit, if all could know by now."""
         third_ms = self._third_ms.get(culprit)
         now_ms = self.timers.clock.now_ms()
@@ -261,7 +261,7 @@
 class _Forgetful(CrashHistory):
     """Remembers nothing: no request is a suspect, whatever ended."""
 
-    def note_crash(self, server, at_ms, requests, begun_ms=None):
+    def record_crash(self, server, at_ms, requests, begun_ms=None):
         """See CrashHistory."""
 
 
--- a/bench/limit_ways.py
+++ b/bench/limit_ways.py
@@ -119,7 +119,7 @@
         self._sent[server] = recent
         return len(recent) < max(limit * WINDOW_MS / _MS_PER_SECOND, 1)
 
-    def note_sent(self, server):
+    def record_sent(self, server):
         """See LimitPermits; the other active ones hear of it."""
         self.hear(server)
         for one in self._world.reached_by(self._instance):
@@ -214,8 +214,8 @@
         """See ForwardPort."""
         server = placement.backend.identity
         sent_ms = self.world.now_ms()
-        self.permits.note_sent(server)
-        self.world.note_arrival(server)
+        self.permits.record_sent(server)
+        self.world.record_arrival(server)
         self.world.running[server] += 1
         self.world.timers.after(_WAY_MS, partial(self._hear, server, sent_ms))
         run_ms = self.world.random.uniform(*_RUN_MS)
@@ -254,8 +254,8 @@
 
     def _ask(self, server):
         sent_ms = self.world.now_ms()
-        self.permits.note_sent(server)
-        self.world.note_arrival(server)
+        self.permits.record_sent(server)
+        self.world.record_arrival(server)
         self.world.timers.after(_WAY_MS, partial(self._hear, server, sent_ms))
 
     def _hear(self, server, sent_ms):
@@ -372,7 +372,7 @@
             return None
         return self._instances.get(name)
 
-    def note_arrival(self, server):
+    def record_arrival(self, server):
         """Note that something reaches a server."""
         self._arrivals[server].append(self.now_ms())
 
--- a/bench/local_fleet.py
+++ b/bench/local_fleet.py
@@ -246,12 +246,12 @@
             for name, document in snapshot.items():
                 backend = dispatcher.fleet.get(name)
                 report = LoadReport(now_ms, document)
-                dispatcher.fleet.note_load(backend, report)
-                _note_events(backend.prefix, document['events'], now_ms)
+                dispatcher.fleet.record_load(backend, report)
+                _record_events(backend.prefix, document['events'], now_ms)
             dispatcher.pump()
 
 
-def _note_events(prefix, events, now_ms):
+def _record_events(prefix, events, now_ms):
     for event in events:
-        prefix.note_event(event.sequence, event.stored, event.evicted, now_ms)
-    prefix.note_up_to_date(now_ms)
+        prefix.record_event(event.sequence, event.stored, event.evicted, now_ms)
+    prefix.record_up_to_date(now_ms)
--- a/bench/model_desk.py
+++ b/bench/model_desk.py
@@ -60,7 +60,7 @@
         reservations=None,
         hints=hints,
         crashes=history,
-        note_moved=None,
+        record_moved=None,
         find_chooser={POOL: choosers[LEAST_BUSY](parts)}.get,
     )
     return Forwarder(ports, _RETRIES)
--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -289,7 +289,7 @@
         'a turn that is lent does not count',
         'crankchute/core/turn_lending_test.py',
         'crankchute/core/turn_lending.py',
-        'permits.note_sent(best)',
+        'permits.record_sent(best)',
         'permits.available(best)',
     ),
     Mutation(
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -212,7 +212,7 @@
             reservations=reservations,
             hints=parts.hints,
             crashes=CrashHistory(self.timers.clock.now_ms),
-            note_moved=None,
+            record_moved=None,
             find_chooser={POOL: chosen}.get,
         )
         limits = RetryLimits(ratio=0.2, slack=100, window_ms=_WINDOW_MS)
--- a/bench/rest_ways.py
+++ b/bench/rest_ways.py
@@ -94,7 +94,7 @@
     """Count it as a failure as well, which fades by half in 3 s."""
     leave_alone(world, instance, place, pause_ms)
     backend = world.fleets[instance][place]
-    backend.suspicion.note_failure(world.timers.clock.now_ms())
+    backend.suspicion.record_failure(world.timers.clock.now_ms())
 
 
 @ways.register('rest, all suspect')
@@ -102,7 +102,7 @@
     """Count it as a failure at all instances, as they tell each other."""
     leave_alone(world, instance, place, pause_ms)
     for fleet in world.fleets:
-        fleet[place].suspicion.note_failure(world.timers.clock.now_ms())
+        fleet[place].suspicion.record_failure(world.timers.clock.now_ms())
 
 
 @ways.register('rest at all instances')
@@ -125,7 +125,7 @@
         """See ForwardPort."""
         world = self._world
         place = world.fleets[self._instance].index(placement.backend)
-        self._note_arrival(place)
+        self._record_arrival(place)
         spell = world.find_spell(place)
         call = SentCall()
         if spell is not None and world.random.random() < spell.part:
@@ -142,7 +142,7 @@
             world.timers.after(run_ms, partial(_finish, world, place, listener))
         return call
 
-    def _note_arrival(self, place):
+    def _record_arrival(self, place):
         now_ms = self._world.timers.clock.now_ms()
         begin_ms, end_ms, count = self._wants_ms.get(place, (0, 0, 0))
         if begin_ms < now_ms < end_ms:
--- a/bench/storm.py
+++ b/bench/storm.py
@@ -123,7 +123,7 @@
                 self._caller('travel-web').call_service,
                 request,
                 options,
-                partial(_note_end, record),
+                partial(_record_end, record),
             )
 
     def run(self):
@@ -152,7 +152,7 @@
             self._caller(account).complete,
             prompt,
             options,
-            partial(_note_end, record),
+            partial(_record_end, record),
         )
 
     def _add_record(self, wanted, deadline_ms):
@@ -236,7 +236,7 @@
         yield f'{end.key} was answered and did not run'
 
 
-def _note_end(record, end):
+def _record_end(record, end):
     record.end = end
 
 
--- a/crankchute/adapters/early_requests.py
+++ b/crankchute/adapters/early_requests.py
@@ -36,7 +36,7 @@
         exchange.on_gone = lambda: self._waiting.remove(exchange)
         self._timers.after(self._longest_ms, lambda: self._give_up(exchange))
 
-    def note_informed(self):
+    def record_informed(self):
         """Serve all that wait, and whatever comes from now on."""
         self._is_informed = True
         waiting = self._waiting
--- a/crankchute/adapters/early_requests_test.py
+++ b/crankchute/adapters/early_requests_test.py
@@ -48,7 +48,7 @@
         if step == 'take':
             latest = world.take()
         elif step == 'inform':
-            world.early.note_informed()
+            world.early.record_informed()
         elif step == 'leave':
             latest.on_gone()
         else:
--- a/crankchute/adapters/forward_server.py
+++ b/crankchute/adapters/forward_server.py
@@ -289,7 +289,7 @@
     def _keep(self, sock, connection, chunk):
         connection.pending += chunk
         if len(connection.pending) > _PENDING_BYTES:
-            self._note_gone(sock)
+            self._record_gone(sock)
             self._close(sock)
 
     def _take(self, sock, connection, chunk):
@@ -322,9 +322,9 @@
 
     @handler('disconnect')
     def _on_caller_gone(self, sock):
-        self._note_gone(sock)
+        self._record_gone(sock)
 
-    def _note_gone(self, sock):
+    def _record_gone(self, sock):
         connection = self._connections.pop(sock, None)
         exchange = None if connection is None else connection.exchange
         if exchange is not None and exchange.on_gone is not None:
--- a/crankchute/adapters/load_poller.py
+++ b/crankchute/adapters/load_poller.py
@@ -116,10 +116,10 @@
 
     def _note(self, backend, document):
         now_ms = self._timers.clock.now_ms()
-        self._fleet.note_load(backend, LoadReport(now_ms, document))
+        self._fleet.record_load(backend, LoadReport(now_ms, document))
         for sequence, stored, evicted in document['events']:
-            backend.prefix.note_event(sequence, stored, evicted, now_ms)
-        backend.prefix.note_up_to_date(now_ms)
+            backend.prefix.record_event(sequence, stored, evicted, now_ms)
+        backend.prefix.record_up_to_date(now_ms)
         if self.on_report is not None:
             self.on_report()
 
--- a/crankchute/adapters/peers_grpc.py
+++ b/crankchute/adapters/peers_grpc.py
@@ -189,12 +189,12 @@
 
     def _take_reply(self, address, reply, is_late, on_reply):
         if is_late:
-            self._note_late(address)
+            self._record_late(address)
         else:
             self._late.pop(address, None)
         on_reply(reply)
 
-    def _note_late(self, address):
+    def _record_late(self, address):
         """Open another connection to a peer that is late again and again."""
         self._late[address] += 1
         if self._late[address] < _MOST_LATE:
--- a/crankchute/client/address_book.py
+++ b/crankchute/client/address_book.py
@@ -111,7 +111,7 @@
         self._random.shuffle(others)
         return others
 
-    def note_answer(self, document, asked_ms):
+    def record_answer(self, document, asked_ms):
         """Take an address answer.
 
         Args:
@@ -128,7 +128,7 @@
         self._valid_until_ms = self._now_ms() + document['ttl_ms']
         self._serve()
 
-    def note_failure(self, address):
+    def record_failure(self, address):
         """Ask another address after a pause."""
         self._distrusted[address] = self._now_ms() + _ASK_MS
         self._timers.after(_PAUSE_MS, self._ask)
@@ -182,17 +182,17 @@
             return
         self._done = True
         if status == HTTPStatus.OK:
-            self._book.note_answer(orjson.loads(body), self._asked_ms)
+            self._book.record_answer(orjson.loads(body), self._asked_ms)
         else:
-            self._book.note_failure(self._address)
+            self._book.record_failure(self._address)
 
     def on_failure(self, _exc):
         if not self._done:
             self._done = True
-            self._book.note_failure(self._address)
+            self._book.record_failure(self._address)
 
     def on_silence(self):
         if not self._done:
             self._done = True
             self.call.cancel()
-            self._book.note_failure(self._address)
+            self._book.record_failure(self._address)
--- a/crankchute/core/attempt_desk.py
+++ b/crankchute/core/attempt_desk.py
@@ -30,14 +30,14 @@
         """
         return flow.job.deadline_ms
 
-    def note_load(self, flow, attempt, load):
+    def record_load(self, flow, attempt, load):
         """Record the ReportedLoad that a server reported with its answer."""
 
-    def note_attempt_end(self, flow, attempt, cause):
+    def record_attempt_end(self, flow, attempt, cause):
         """Record the end of an attempt and its cause."""
 
-    def note_freed(self, flow, placement):
+    def record_freed(self, flow, placement):
         """Record that a placement no longer uses its servers."""
 
-    def note_left(self, flow, attempt):
+    def record_left(self, flow, attempt):
         """Record that a job that was sent is no longer at its server."""
--- a/crankchute/core/breaker.py
+++ b/crankchute/core/breaker.py
@@ -37,18 +37,18 @@
             return True
         return not self._has_trial and now_ms >= self._retry_at_ms
 
-    def note_start(self):
+    def record_start(self):
         """Record that a request was sent; it is a trial if the breaker is open."""
         self._has_trial = self.is_open
 
-    def note_success(self):
+    def record_success(self):
         """Close the breaker: the server answered."""
         self._failures = 0
         self._pause_ms = _INITIAL_PAUSE_MS
         self._retry_at_ms = None
         self._has_trial = False
 
-    def note_abandoned(self):
+    def record_abandoned(self):
         """Record that a request ended without a verdict on the server."""
         self._has_trial = False
 
@@ -61,7 +61,7 @@
         self._has_trial = False
         self._retry_at_ms = now_ms + self._pause_ms
 
-    def note_failure(self, now_ms):
+    def record_failure(self, now_ms):
         """Record a failed request.
 
         Args:
--- a/crankchute/core/choosers.py
+++ b/crankchute/core/choosers.py
@@ -184,16 +184,16 @@
         """
         return attempt.last_event_ms + job.goal_ms
 
-    def note_sent(self, job, placement):
+    def record_sent(self, job, placement):
         """Record that a job is about to be sent to its placement."""
 
-    def note_first_event(self, job, placement):
+    def record_first_event(self, job, placement):
         """Record the first event of a job."""
 
-    def note_first_event_latency(self, placement, actual_ms):
+    def record_first_event_latency(self, placement, actual_ms):
         """Record the latency of the first event of a placement."""
 
-    def note_load(self, backend, load):
+    def record_load(self, backend, load):
         """Record the load that a server stated in a response.
 
         Args:
@@ -201,10 +201,10 @@
           load: A ReportedLoad.
         """
 
-    def note_polled_load(self, backend, load):
+    def record_polled_load(self, backend, load):
         """Record a load report that was polled from a server."""
 
-    def note_end(self, job, placement):
+    def record_end(self, job, placement):
         """Record the end of a job."""
 
     def refuse(self):
--- a/crankchute/core/completion_machine_test.py
+++ b/crankchute/core/completion_machine_test.py
@@ -192,7 +192,7 @@
         """Report the load of every engine."""
         for backend in self.fleet:
             now_ms = self.timers.clock.now_ms()
-            self.fleet.note_load(backend, make_load(now_ms))
+            self.fleet.record_load(backend, make_load(now_ms))
 
 
 CompletionMachine.TestCase.settings = settings(
--- a/crankchute/core/crash_ledger.py
+++ b/crankchute/core/crash_ledger.py
@@ -110,7 +110,7 @@
         found.asked_ms = self._now_ms()
         return True
 
-    def note_crash(self, server, at_ms, requests, begun_ms=None):
+    def record_crash(self, server, at_ms, requests, begun_ms=None):
         """Record a server crash that this instance noticed.
 
         Args:
@@ -123,7 +123,7 @@
             self._update_quarantine()
             self._notify_subscribers()
 
-    def note_answered(self, fingerprint):
+    def record_answered(self, fingerprint):
         """Clear a request: it was answered, so it does not crash servers.
 
         Args:
--- a/crankchute/core/crash_ledger_test.py
+++ b/crankchute/core/crash_ledger_test.py
@@ -24,13 +24,13 @@
         self.clock = ManualClock()
         self.quarantined = []
         self.histories = [
-            CrashHistory(self.clock.now_ms, self._note_quarantined)
+            CrashHistory(self.clock.now_ms, self._record_quarantined)
             for _ in range(count)
         ]
 
     def crash(self, server, *requests, at=0, pause_ms=100):
         self.clock.time_ms += pause_ms
-        self.histories[at].note_crash(server, self.clock.time_ms, requests)
+        self.histories[at].record_crash(server, self.clock.time_ms, requests)
 
     def send(self, sender, receiver):
         news = copy.deepcopy(self.histories[sender].make_report())
@@ -50,7 +50,7 @@
         for number in range(3):
             self.crash(f's{number}', CULPRIT, 10 + number, at=at)
 
-    def _note_quarantined(self, fingerprint, servers):
+    def _record_quarantined(self, fingerprint, servers):
         self.quarantined.append((fingerprint, len(servers)))
 
 
@@ -74,7 +74,7 @@
         world.clock.time_ms = 100
         for number, begun_ms in enumerate((40, 20)):
             history = world.histories[number]
-            history.note_crash('s1', 100, [CULPRIT], {CULPRIT: begun_ms})
+            history.record_crash('s1', 100, [CULPRIT], {CULPRIT: begun_ms})
         world.histories[order[0]].merge_report(
             world.histories[order[1]].make_report()
         )
@@ -105,7 +105,7 @@
     for number in range(after):
         world.crash(f's{number}', CULPRIT)
     world.clock.time_ms += 1
-    history.note_answered(CULPRIT)
+    history.record_answered(CULPRIT)
     assert not history.is_quarantined(CULPRIT)
     assert history.count_crashes(CULPRIT) == 0
     world.clock.time_ms += 1000
@@ -152,7 +152,7 @@
         for number in range(3):
             world.crash(f's{request}-{number}', request)
         if request % 2:
-            history.note_answered(request)
+            history.record_answered(request)
     news = history.make_report()
     assert len(news.quarantined) <= 256
     assert len(news.cleared) <= 512
@@ -199,7 +199,7 @@
     world.quarantine(at=0)
     world.send(0, 1)
     world.clock.time_ms += 10
-    world.histories[1].note_answered(CULPRIT)
+    world.histories[1].record_answered(CULPRIT)
     world.send(1, 2)
     world.send(0, 2)
     world.send_all()
@@ -215,9 +215,9 @@
     world.crash('s1', CULPRIT)
     world.crash('s1', CULPRIT)
     world.send(0, 1)
-    world.histories[0].note_answered(OTHER)
+    world.histories[0].record_answered(OTHER)
     assert notified == [0]
-    world.histories[1].note_answered(CULPRIT)
+    world.histories[1].record_answered(CULPRIT)
     assert notified == [0, 1]
 
 
@@ -244,7 +244,7 @@
             requests = (CULPRIT, 10 + second)
             world.crash(f's{server}', *requests, at=first, pause_ms=0)
         elif kind == 'answer':
-            world.histories[first].note_answered(10 + second)
+            world.histories[first].record_answered(10 + second)
         elif first != second:
             world.send(first, second)
     world.clock.time_ms += 1000
--- a/crankchute/core/crash_watch.py
+++ b/crankchute/core/crash_watch.py
@@ -57,7 +57,7 @@
         self._probes = {}
         timers.every(_EXPIRY_INTERVAL_MS, history.discard_expired)
 
-    def note_connection_lost(self, attempt, fingerprint, on_known):
+    def record_connection_lost(self, attempt, fingerprint, on_known):
         """Record that a server closed the connection of a request.
 
         Args:
@@ -83,13 +83,13 @@
         else:
             probe.waiting.append(on_known)
 
-    def note_answered(self, fingerprint):
+    def record_answered(self, fingerprint):
         """Record that a server answered a request completely.
 
         Args:
           fingerprint: The request's fingerprint.
         """
-        self._history.note_answered(fingerprint)
+        self._history.record_answered(fingerprint)
 
     def is_suspect(self, fingerprint):
         """Return whether any server crashed while running a request.
@@ -136,16 +136,16 @@
         probe = self._probes.pop(backend.identity)
         # None means that the probe got no answer: perhaps a network failure.
         if is_listening is False:
-            self._note_crash(backend, probe)
+            self._record_crash(backend, probe)
         for on_known in probe.waiting:
             on_known()
 
-    def _note_crash(self, backend, probe):
+    def _record_crash(self, backend, probe):
         # The server stays listed until it has missed three heartbeats.
         backend.breaker.trip(self._timers.clock.now_ms())
         if self._on_crashed is not None:
             self._on_crashed(backend, probe.begun_ms)
-        self._history.note_crash(
+        self._history.record_crash(
             backend.identity,
             probe.at_ms,
             probe.begun_ms,
--- a/crankchute/core/crash_watch_test.py
+++ b/crankchute/core/crash_watch_test.py
@@ -209,7 +209,7 @@
     bystander = harness.port.calls[-1]
     for number in range(crashes):
         now_ms = harness.timers.clock.now_ms()
-        harness.crashes.note_crash(f'gone-{number}', now_ms, [CULPRIT])
+        harness.crashes.record_crash(f'gone-{number}', now_ms, [CULPRIT])
     harness.submit(fingerprint=CULPRIT)
     chosen = harness.port.calls[-1].placement.backend
     assert (chosen is not bystander.placement.backend) == is_alone
@@ -218,7 +218,7 @@
 def test_suspect_request_shares_a_server_if_none_is_idle():
     harness = World(servers=1)
     harness.submit(fingerprint=BYSTANDER)
-    harness.crashes.note_crash('gone', 0, [CULPRIT])
+    harness.crashes.record_crash('gone', 0, [CULPRIT])
     harness.submit(fingerprint=CULPRIT)
     assert len(harness.port.calls) == 2
 
--- a/crankchute/core/dispatcher.py
+++ b/crankchute/core/dispatcher.py
@@ -132,7 +132,7 @@
             self._queue.start_ready(self._start)
         self._pumping = False
 
-    def note_end(self, flow, outcome):
+    def record_end(self, flow, outcome):
         """Release the resources of a request that ended."""
         job = flow.job
         if self._flows.pop(job.request_id, None) is None:
@@ -142,7 +142,7 @@
         if account is not None:
             self._limits.usage_of(account).release()
         if outcome == Outcome.OK:
-            self._budget(job.account).note_success()
+            self._budget(job.account).record_success()
             # Admission predicts durations with the mean time between tokens.
             change_ms = flow.token_gap_ms() - self._token_gap_ms
             self._token_gap_ms += _GAP_SMOOTHING * change_ms
--- a/crankchute/core/dispatcher_test.py
+++ b/crankchute/core/dispatcher_test.py
@@ -55,7 +55,7 @@
         """Submit a completion whose attempts all fail, and return its sink."""
         now_ms = self.timers.clock.now_ms()
         for backend in self.fleet:
-            self.fleet.note_load(backend, make_load(now_ms))
+            self.fleet.record_load(backend, make_load(now_ms))
         job = make_job(
             request_id=f'r{now_ms}',
             fingerprint=fingerprint,
--- a/crankchute/core/engine_board.py
+++ b/crankchute/core/engine_board.py
@@ -155,7 +155,7 @@
         self._slowness = previous + _SLOWNESS_WEIGHT * (observed - previous)
         self._slowness_at_ms = now_ms
 
-    def note_load(self, load, now_ms):
+    def record_load(self, load, now_ms):
         """Record a load that the engine stated.
 
         Args:
@@ -167,7 +167,7 @@
             work.is_decoding and work.sent_ms <= stated_at_ms
             for work in self.works.values()
         )
-        self._unreported.note(load, known, now_ms)
+        self._unreported.record(load, known, now_ms)
 
     def count_requests(self, now_ms, usual_ms):
         """Return the estimated number of requests at the engine.
@@ -319,7 +319,7 @@
         now_ms = self._now_ms()
         state = self.state(work.engine)
         if work.key not in state.works:
-            self.demand.note(work, now_ms)
+            self.demand.record(work, now_ms)
         state.add(work, now_ms)
         heapq.heappush(self._expiries, (work.until_ms, work.key, work.engine))
         self._drop_expired()
@@ -362,7 +362,7 @@
             if work.origin == origin
         ]
 
-    def note(self, update):
+    def record(self, update):
         """Apply an update of another instance.
 
         Args:
--- a/crankchute/core/engine_chooser.py
+++ b/crankchute/core/engine_chooser.py
@@ -127,36 +127,36 @@
         first_ms = attempt.placement.first_ms or 0
         return since_ms + _OVERDUE_MS + first_ms * _OVERDUE_FACTOR
 
-    def note_sent(self, job, placement):
+    def record_sent(self, job, placement):
         """See Chooser."""
         for work in placement.key.works:
             self._work_tracker.add(work)
             self._parts.announce_work(Change.SENT, work)
 
-    def note_first_event(self, job, placement):
+    def record_first_event(self, job, placement):
         """See Chooser."""
         for work in placement.key.works:
             self._work_tracker.start(work.engine, work.key)
             self._parts.announce_work(Change.STARTED, work)
 
-    def note_first_event_latency(self, placement, actual_ms):
+    def record_first_event_latency(self, placement, actual_ms):
         """See Chooser; split prefills do not show which engine was slow."""
         if placement.helpers or not placement.first_ms:
             return
         state = self._work_tracker.state(placement.backend.identity)
         state.update_slowness(actual_ms / placement.first_ms, self.now_ms())
 
-    def note_load(self, backend, load):
+    def record_load(self, backend, load):
         """See Chooser."""
         state = self._work_tracker.state(backend.identity)
-        state.note_load(load, self.now_ms())
+        state.record_load(load, self.now_ms())
 
-    def note_polled_load(self, backend, load):
+    def record_polled_load(self, backend, load):
         """See Chooser."""
         load.age_ms = self._figures.report_lag_ms
-        self.note_load(backend, load)
+        self.record_load(backend, load)
 
-    def note_end(self, job, placement):
+    def record_end(self, job, placement):
         """See Chooser."""
         for work in placement.key.works:
             self._work_tracker.end(work.engine, work.key)
--- a/crankchute/core/engine_chooser_test.py
+++ b/crankchute/core/engine_chooser_test.py
@@ -41,7 +41,7 @@
     def place(self, size, goal_ms=300, gap_ms=250):
         job = make_job(size=size, goal_ms=goal_ms, gap_ms=gap_ms)
         placement = self.chooser.choose(job, set())
-        self.chooser.note_sent(job, placement)
+        self.chooser.record_sent(job, placement)
         return job, placement
 
     def add_decode(self, engine, gap_ms=250):
@@ -114,7 +114,7 @@
     for _ in range(3):
         job, placement = world.place(HUGE, goal_ms=2500)
         tickets.extend(helper.ticket for helper in placement.helpers)
-        world.chooser.note_end(job, placement)
+        world.chooser.record_end(job, placement)
     assert len(tickets) == len(set(tickets))
 
 
@@ -122,8 +122,8 @@
     world = World()
     job, placement = world.place(SHORT)
     engine = placement.backend.identity
-    world.chooser.note_first_event(job, placement)
-    world.chooser.note_end(job, placement)
+    world.chooser.record_first_event(job, placement)
+    world.chooser.record_end(job, placement)
     changes = [change for change, server in world.announced if server == engine]
     assert changes == [Change.SENT, Change.STARTED, Change.ENDED]
     assert not world.work_tracker.state(engine).works
@@ -149,10 +149,10 @@
 def test_failed_server_is_chosen_only_as_a_last_resort():
     world = World(engines=2)
     for _ in range(3):
-        world.backends[1].breaker.note_failure(0)
+        world.backends[1].breaker.record_failure(0)
     chosen = [world.place(SHORT)[1].backend.identity]
     for _ in range(3):
-        world.backends[0].breaker.note_failure(0)
+        world.backends[0].breaker.record_failure(0)
     chosen.append(world.place(SHORT)[1].backend.identity)
     assert chosen[0] == 'server-00'
     assert chosen[1] in {'server-00', 'server-01'}
@@ -172,7 +172,7 @@
     world = World(engines=1)
     job, placement = world.place(SHORT)
     attempt = FakeAttempt(placement, 0)
-    world.chooser.note_first_event(job, placement)
+    world.chooser.record_first_event(job, placement)
     before_ms = world.chooser.stalled_at_ms(job, attempt)
     world.place(PromptSize(200_000, 100), goal_ms=2500)
     prefill_end_ms = world.work_tracker.state(
@@ -236,7 +236,7 @@
 def test_unknown_requests_count_as_the_wait_for_a_slot(requests, chosen):
     world = World(engines=4)
     for backend in world.backends[2:]:
-        world.chooser.note_load(backend, ReportedLoad(requests))
+        world.chooser.record_load(backend, ReportedLoad(requests))
     assert engines_of(world.place(SHORT)[1]) <= chosen
     # Unknown requests are assumed to end as well.
     world.timers.advance(2500)
--- a/crankchute/core/fleet.py
+++ b/crankchute/core/fleet.py
@@ -233,24 +233,24 @@
         """A map from each model that the server reported to its versions."""
         return {} if self.load is None else self.load.holding.models
 
-    def note_failed(self, now_ms, weight=1):
+    def record_failed(self, now_ms, weight=1):
         """Record that a request of this instance failed there.
 
         Args:
           now_ms: The time.
           weight: How certain it is that the server is at fault, up to 1.
         """
-        self.breaker.note_failure(now_ms)
-        self.suspicion.note_failure(now_ms, weight)
+        self.breaker.record_failure(now_ms)
+        self.suspicion.record_failure(now_ms, weight)
 
-    def note_success(self, now_ms):
+    def record_success(self, now_ms):
         """Record that a request of this instance succeeded there.
 
         Args:
           now_ms: The time.
         """
-        self.breaker.note_success()
-        self.suspicion.note_success(now_ms)
+        self.breaker.record_success()
+        self.suspicion.record_success(now_ms)
 
     def pause_until(self, until_ms):
         """Send no requests before a time; an earlier time changes nothing.
@@ -260,7 +260,7 @@
         """
         self.paused_until_ms = max(self.paused_until_ms, until_ms)
 
-    def note_load(self, report):
+    def record_load(self, report):
         """Store a load report, and drop prefixes from before a restart.
 
         Args:
@@ -270,7 +270,7 @@
             self.prefix.forget()
         self.load = report
 
-    def note_sent(self, priority, tokens):
+    def record_sent(self, priority, tokens):
         """Record that this instance sent a prompt.
 
         Args:
@@ -280,7 +280,7 @@
         self.pending_tokens += tokens
         self._pending[priority] += tokens
 
-    def note_answered(self, priority, tokens):
+    def record_answered(self, priority, tokens):
         """Record that a prompt led to its first token, or was abandoned.
 
         Args:
@@ -373,7 +373,7 @@
             self._reporting[pool] = reporting
         return reporting
 
-    def note_load(self, backend, report):
+    def record_load(self, backend, report):
         """Store a load report of a backend.
 
         Args:
@@ -382,7 +382,7 @@
         """
         if backend.load is None:
             self._reporting = {}
-        backend.note_load(report)
+        backend.record_load(report)
 
     def replace(self, listed):
         """Replace the instance list.
--- a/crankchute/core/flow_desk.py
+++ b/crankchute/core/flow_desk.py
@@ -145,30 +145,30 @@
             self.metrics.count('retries')
         return taken
 
-    def note_attempt(self, flow, attempt, cause):
+    def record_attempt(self, flow, attempt, cause):
         """Record that a job is sent to an engine."""
         job = flow.job
-        attempt.backend.note_sent(job.engine_priority, job.tokens)
+        attempt.backend.record_sent(job.engine_priority, job.tokens)
         attempt.backend.long_prompt_count += job.is_long
 
-    def note_first_event(self, flow, attempt):
+    def record_first_event(self, flow, attempt):
         """Record an attempt's first token, which frees engine capacity."""
         job = flow.job
         now_ms = self.now_ms()
-        attempt.backend.note_answered(job.engine_priority, job.tokens)
+        attempt.backend.record_answered(job.engine_priority, job.tokens)
         if flow.first_ms is None:
             flow.first_ms = now_ms
             self.metrics.observe_first_token(job, now_ms - job.arrived_ms)
         self._dispatcher.pump()
 
-    def note_left(self, flow, attempt):
+    def record_left(self, flow, attempt):
         """Record that a job that was sent is no longer at its engine."""
         job = flow.job
         attempt.backend.long_prompt_count -= job.is_long
         if not attempt.started:
-            attempt.backend.note_answered(job.engine_priority, job.tokens)
+            attempt.backend.record_answered(job.engine_priority, job.tokens)
 
-    def note_rejection(self, flow, attempt, rejection):
+    def record_rejection(self, flow, attempt, rejection):
         """Pause an engine for the time that it asked for."""
         self.metrics.count('engine_refusals', rejection.code)
         self.pause_backend(attempt.backend, rejection.retry_after_ms)
@@ -183,13 +183,13 @@
         if pause_ms:
             backend.pause_until(self.now_ms() + pause_ms)
 
-    def note_dropped(self, flow, attempt):
+    def record_dropped(self, flow, attempt):
         """Count an event that the caller already received."""
         self.metrics.count('frames_dropped')
 
-    def note_end(self, flow, outcome, code):
+    def record_end(self, flow, outcome, code):
         """Record the end of a request."""
-        self._dispatcher.note_end(flow, outcome)
+        self._dispatcher.record_end(flow, outcome)
 
     def enqueue(self, flow):
         """Add a flow to the queue."""
--- a/crankchute/core/forward_attempt.py
+++ b/crankchute/core/forward_attempt.py
@@ -93,7 +93,7 @@
             return False
         if self._call is None:
             return False
-        self.backend.breaker.note_abandoned()
+        self.backend.breaker.record_abandoned()
         self._call.cancel()
         return self._call.sent
 
@@ -112,7 +112,7 @@
             restarted = [one for one in participants if one.backend is backend]
             self._flow.on_reservation_refused(self, restarted)
             return
-        self.backend.breaker.note_abandoned()
+        self.backend.breaker.record_abandoned()
         self._call.cancel()
         text = f'{backend.identity} started again'
         self._flow.on_attempt_failed(
@@ -126,7 +126,7 @@
             return
         self._head = head
         if head.load is not None:
-            self._context.note_load(self._flow, self, head.load)
+            self._context.record_load(self._flow, self, head.load)
 
     def on_body(self, chunk):
         """See AttemptListener."""
@@ -136,7 +136,7 @@
         """See AttemptListener."""
         if self._is_closed:
             return
-        self._note_event()
+        self._record_event()
         self._flow.on_event(self, self._head, event)
 
     def on_end(self):
@@ -145,32 +145,32 @@
             return
         now_ms = self._context.now_ms()
         if self._head.status >= FIRST_SERVER_ERROR:
-            self.backend.note_failed(now_ms, _SERVER_ERROR_WEIGHT)
+            self.backend.record_failed(now_ms, _SERVER_ERROR_WEIGHT)
         else:
-            self.backend.note_success(now_ms)
+            self.backend.record_success(now_ms)
         self._flow.on_attempt_end(self, self._head, b''.join(self._body))
 
     def on_not_run(self, rejection):
         """See AttemptListener."""
         if self._close():
-            self.backend.breaker.note_abandoned()
+            self.backend.breaker.record_abandoned()
             self._flow.on_attempt_not_run(self, rejection)
 
     def on_failed(self, exc):
         """See AttemptListener."""
         if self._close():
-            self.backend.note_failed(self._context.now_ms())
+            self.backend.record_failed(self._context.now_ms())
             self._flow.on_attempt_failed(self, exc)
 
-    def _note_event(self):
+    def _record_event(self):
         now_ms = self._context.now_ms()
         if self.first_ms is None:
             self.first_ms = now_ms
             if self._reservation is not None:
-                self._reservation.note_used()
+                self._reservation.record_used()
             if self._is_overdue:
                 self.backend.suspicion.retract_failure(now_ms)
-            self._context.note_first_event(self._flow, self)
+            self._context.record_first_event(self._flow, self)
         else:
             gap_ms = now_ms - self.last_event_ms
             self.longest_gap_ms = max(self.longest_gap_ms, gap_ms)
@@ -188,7 +188,7 @@
     def _send(self):
         self.sent_ms = self._context.now_ms()
         self.backend.in_flight += 1
-        self.backend.breaker.note_start()
+        self.backend.breaker.record_start()
         self.last_event_ms = self.sent_ms
         self._flow.on_attempt_sent(self)
         self._arm_watchdog()
@@ -218,7 +218,7 @@
         if delay_ms > 0:
             self._watchdog = self._context.after(delay_ms, self._on_watchdog)
         elif checks_overdue:
-            self._note_overdue()
+            self._record_overdue()
             self._arm_watchdog()
         else:
             self._fail_stalled()
@@ -235,10 +235,10 @@
         unused_ms = self._reservation.use_deadline_ms
         return unused_ms if until_ms is None else min(until_ms, unused_ms)
 
-    def _note_overdue(self):
+    def _record_overdue(self):
         """Record a suspected failure, since the first event is overdue."""
         self._is_overdue = True
-        self.backend.suspicion.note_failure(self._context.now_ms())
+        self.backend.suspicion.record_failure(self._context.now_ms())
 
     def _on_watchdog(self):
         self._watchdog = None
@@ -259,8 +259,8 @@
             self._watchdog.cancel()
         if self.sent_ms is not None:
             self.backend.in_flight -= 1
-            self._context.note_left(self._flow, self)
+            self._context.record_left(self._flow, self)
         if self._reservation is not None:
             self._reservation.release()
-        self._context.note_freed(self._flow, self.placement)
+        self._context.record_freed(self._flow, self.placement)
         return True
--- a/crankchute/core/forward_config.py
+++ b/crankchute/core/forward_config.py
@@ -163,7 +163,7 @@
           asked_ms: The time of the request, in milliseconds on the local clock.
         """
         if version == self.version:
-            self._proof.note(asked_ms)
+            self._proof.record(asked_ms)
 
     def proof_age_ms(self, now_ms):
         """Return the age of the newest proof in milliseconds, or None.
--- a/crankchute/core/forward_desk.py
+++ b/crankchute/core/forward_desk.py
@@ -47,7 +47,7 @@
         self._instances = 1
         self._flows = set()
         self._hints = ports.hints
-        self._note_moved = ports.note_moved
+        self._record_moved = ports.record_moved
         self._reservations = ports.reservations
         self.crash_watch = CrashDetector(
             ports.crashes,
@@ -75,13 +75,13 @@
           A ForwardFlow, whose cancel() cancels the request.
         """
         self.journal.log_request(job)
-        self._budget(job).note_request(self.now_ms())
+        self._budget(job).record_request(self.now_ms())
         flow = ForwardFlow(job, self, sink)
         self._flows.add(flow)
         flow.start()
         return flow
 
-    def note_instances(self, count):
+    def record_instances(self, count):
         """Set the number of instances that share the retry budget.
 
         The number never decreases.
@@ -91,9 +91,9 @@
         """
         self._instances = max(self._instances, count)
         for budget in self._budgets.values():
-            budget.note_instances(count)
+            budget.record_instances(count)
 
-    def note_restarted(self, backend):
+    def record_restarted(self, backend):
         """End the attempts at a server that restarted.
 
         Args:
@@ -150,7 +150,7 @@
         else:
             choice = chooser.choose(flow.job, avoided)
         if isinstance(choice, Placement):
-            chooser.note_sent(flow.job, choice)
+            chooser.record_sent(flow.job, choice)
         return choice
 
     def stalled_at_ms(self, flow, attempt):
@@ -190,55 +190,55 @@
             on_done,
         )
 
-    def note_freed(self, flow, placement):
+    def record_freed(self, flow, placement):
         """Record that a placement no longer uses its servers."""
         chooser = self.find_chooser(flow.job.pool)
         if chooser is not None:
-            chooser.note_end(flow.job, placement)
+            chooser.record_end(flow.job, placement)
 
-    def note_attempt(self, flow, attempt, cause):
+    def record_attempt(self, flow, attempt, cause):
         """Record that a request is sent to a server."""
         self.journal.log_attempt(flow, attempt, cause)
 
-    def note_first_event(self, flow, attempt):
+    def record_first_event(self, flow, attempt):
         """Record the first event of an attempt and its prediction error."""
         placement = attempt.placement
         chooser = self.find_chooser(flow.job.pool)
         if chooser is not None:
-            chooser.note_first_event(flow.job, placement)
+            chooser.record_first_event(flow.job, placement)
         if flow.job.size is None or placement.first_ms is None:
             return
         actual_ms = attempt.first_ms - attempt.sent_ms
         error_ms = actual_ms - placement.first_ms
         self.metrics.observe_prediction(flow.job.size.prompt, error_ms)
         if chooser is not None:
-            chooser.note_first_event_latency(placement, actual_ms)
+            chooser.record_first_event_latency(placement, actual_ms)
 
-    def note_load(self, flow, attempt, load):
+    def record_load(self, flow, attempt, load):
         """Record the load that a server reported with its answer."""
         chooser = self.find_chooser(flow.job.pool)
         if chooser is not None:
-            chooser.note_load(attempt.backend, load)
+            chooser.record_load(attempt.backend, load)
 
-    def note_attempt_end(self, flow, attempt, cause):
+    def record_attempt_end(self, flow, attempt, cause):
         """Record the end of an attempt."""
         self.journal.log_attempt_end(flow, attempt, cause)
 
-    def note_rejection(self, flow, attempt, rejection):
+    def record_rejection(self, flow, attempt, rejection):
         """Record that a server rejected a request."""
         self.metrics.count('engine_refusals', rejection.code)
         server = attempt.placement.find_rejecting_server(rejection.at_server)
         if rejection.code == MOVED:
-            self._note_moved(server)
+            self._record_moved(server)
         elif rejection.retry_after_ms:
             # A helper's pause is reported by the server that got the request.
             server.pause_until(self.now_ms() + rejection.retry_after_ms)
 
-    def note_dropped(self, flow, attempt):
+    def record_dropped(self, flow, attempt):
         """Count an event that the caller already received."""
         self.metrics.count('frames_dropped')
 
-    def note_end(self, flow, outcome, code):
+    def record_end(self, flow, outcome, code):
         """Record the end of a request."""
         self._flows.discard(flow)
         self.metrics.count(self._ended_counter, outcome.value)
@@ -254,7 +254,7 @@
         budget = self._budgets.get(key)
         if budget is None:
             budget = SlidingRetryBudget(self._limits)
-            budget.note_instances(self._instances)
+            budget.record_instances(self._instances)
             self._budgets[key] = budget
         return budget
 
@@ -288,7 +288,7 @@
         'hints',
         'journal',
         'metrics',
-        'note_moved',
+        'record_moved',
         'reservations',
         'timers',
     )
@@ -303,7 +303,7 @@
             `crashes`, a CrashHistory;
             `find_chooser`, a function that maps a pool name to a Chooser or
             None;
-            `note_moved`, a function of a Backend whose address another server
+            `record_moved`, a function of a Backend whose address another server
             has taken over, as that server reported.
         """
         for name in self.__slots__:
--- a/crankchute/core/forward_fakes.py
+++ b/crankchute/core/forward_fakes.py
@@ -293,7 +293,7 @@
             return None
         return attempt.last_event_ms + self.max_silence_ms
 
-    def note_end(self, job, placement):
+    def record_end(self, job, placement):
         """See Chooser."""
         self.ended_placements.append(placement)
 
@@ -346,7 +346,7 @@
             reservations=self.reservation_manager,
             hints=RetryHints(Random(1)),
             crashes=self.crashes,
-            note_moved=self.moved.append,
+            record_moved=self.moved.append,
             find_chooser={POOL: self.chooser}.get,
         )
         limits = RetryLimits(ratio=0, slack=slack, window_ms=_RETRY_WINDOW_MS)
--- a/crankchute/core/forward_fleet.py
+++ b/crankchute/core/forward_fleet.py
@@ -229,7 +229,7 @@
                     backend.listed.listed_id, may_have_expired=may_have_expired
                 )
 
-    def note_drained(self, identity):
+    def record_drained(self, identity):
         """Record that a server drains; it gets no new requests from now on.
 
         Args:
@@ -239,7 +239,7 @@
         self._pools = {}
         self._discard_expired()
 
-    def note_gone(self, identity, *, is_seen=False):
+    def record_gone(self, identity, *, is_seen=False):
         """Record that a server is gone although it may still be listed.
 
         The surest sign is that another server answers at its address.  That
@@ -289,7 +289,7 @@
         self._latest_starts[listed.listed_id] = listed
         self._pools = {}
         if listed.state == LEAVING:
-            self.note_drained(listed.identity)
+            self.record_drained(listed.identity)
 
     def _discard_earlier(self, identity):
         """Drop an earlier start of a server and notify the subscribers."""
--- a/crankchute/core/forward_fleet_test.py
+++ b/crankchute/core/forward_fleet_test.py
@@ -42,7 +42,7 @@
     'leave',
     [
         lambda fleet: fleet.put(make_listed('a', LEAVING)),
-        lambda fleet: fleet.note_drained('a'),
+        lambda fleet: fleet.record_drained('a'),
     ],
 )
 def test_draining_server_gets_no_new_requests(leave):
@@ -88,7 +88,7 @@
 def test_reported_removal_counts_if_it_may_be_newer(age_ms, members):
     world = World()
     world.timers.advance(age_ms)
-    world.fleet.note_gone('a')
+    world.fleet.record_gone('a')
     assert world.members() == members
     world.timers.advance(9000)
     assert world.members() == {'a', 'b'}
@@ -97,14 +97,14 @@
 def test_server_replaced_at_its_address_is_avoided():
     """Also if its entry is fresh; other instances are told."""
     world = World()
-    world.fleet.note_gone('a', is_seen=True)
+    world.fleet.record_gone('a', is_seen=True)
     assert world.members() == {'b'}
     assert world.fleet.gone() == ['a']
     world.timers.advance(7000)
     assert world.members() == {'b'}
     world.timers.advance(2000)
     assert world.members() == {'a', 'b'}
-    world.fleet.note_gone('a', is_seen=True)
+    world.fleet.record_gone('a', is_seen=True)
     assert world.members() == {'b'}
     world.fleet.put(make_listed('a', port=7009))
     assert world.members() == {'a', 'b'}
@@ -157,16 +157,16 @@
 
 
 def drain(world):
-    world.fleet.note_drained('a@100')
+    world.fleet.record_drained('a@100')
 
 
 def receive_removal(world):
     world.timers.advance(5000)
-    world.fleet.note_gone('a@100')
+    world.fleet.record_gone('a@100')
 
 
 def fail(world):
-    world.first.note_failed(0)
+    world.first.record_failed(0)
 
 
 @pytest.mark.parametrize('before', [drain, receive_removal, fail])
@@ -190,8 +190,8 @@
         lambda fleet: fleet.replace(
             [make_listed('a', LEAVING, born=100)], may_have_expired=False
         ),
-        lambda fleet: fleet.note_drained('a@100'),
-        lambda fleet: fleet.note_gone('a@100'),
+        lambda fleet: fleet.record_drained('a@100'),
+        lambda fleet: fleet.record_gone('a@100'),
     ],
 )
 def test_late_news_of_an_earlier_start_has_no_effect(late):
--- a/crankchute/core/forward_flow.py
+++ b/crankchute/core/forward_flow.py
@@ -100,7 +100,7 @@
         if self._expire_if_late():
             return
         if not self._is_new(event):
-            self._context.note_dropped(self, attempt)
+            self._context.record_dropped(self, attempt)
             return
         if not self._streaming:
             self._streaming = True
@@ -113,7 +113,7 @@
     def on_attempt_sent(self, attempt):
         """Count an attempt that is being sent."""
         self.attempts += 1
-        self._context.note_attempt(self, attempt, self._cause)
+        self._context.record_attempt(self, attempt, self._cause)
 
     def on_reservation_refused(self, attempt, refused):
         """Choose other servers after helpers refused to reserve memory."""
@@ -124,8 +124,8 @@
     def on_attempt_end(self, attempt, head, body):
         """End with the server's answer, or retry after a 5xx status."""
         self.attempt = None
-        self._context.note_attempt_end(self, attempt, str(head.status))
-        self._context.crash_watch.note_answered(self.job.fingerprint)
+        self._context.record_attempt_end(self, attempt, str(head.status))
+        self._context.crash_watch.record_answered(self.job.fingerprint)
         if self.job.is_stream and head.is_success:
             if not self._expire_if_late():
                 self._finish_stream(head)
@@ -146,8 +146,8 @@
     def on_attempt_not_run(self, attempt, rejection):
         """Retry at another server after a rejection."""
         self.attempt = None
-        self._context.note_attempt_end(self, attempt, rejection.code)
-        self._context.note_rejection(self, attempt, rejection)
+        self._context.record_attempt_end(self, attempt, rejection.code)
+        self._context.record_rejection(self, attempt, rejection)
         rejecting = attempt.placement.find_rejecting_server(rejection.at_server)
         if self._may_retry(rejecting):
             self._try_next(rejection.code)
@@ -156,7 +156,7 @@
 
     def on_attempt_failed(self, attempt, exc):
         """Retry at another server if that is allowed, or end."""
-        self._note_failed(attempt, exc)
+        self._record_failed(attempt, exc)
         if not exc.sent:
             self.attempts -= 1
             self._try_next('not_connected')
@@ -181,7 +181,7 @@
         The answer decides whether the request may be sent again.
         """
         if exc.connection_lost:
-            self._context.crash_watch.note_connection_lost(
+            self._context.crash_watch.record_connection_lost(
                 attempt,
                 self.job.fingerprint,
                 callback,
@@ -189,9 +189,9 @@
         else:
             callback()
 
-    def _note_failed(self, attempt, exc):
+    def _record_failed(self, attempt, exc):
         self.attempt = None
-        self._context.note_attempt_end(self, attempt, str(exc))
+        self._context.record_attempt_end(self, attempt, str(exc))
         self._avoided.add(attempt.backend.identity)
         self._may_have_run = self._may_have_run or exc.sent
 
@@ -246,7 +246,7 @@
         self.attempt = None
         if attempt is None or not attempt.cancel():
             return False
-        self._context.note_attempt_end(self, attempt, 'cancelled')
+        self._context.record_attempt_end(self, attempt, 'cancelled')
         return True
 
     def _fail(self, code, text, retry_after_ms=None):
@@ -288,4 +288,4 @@
         self.ended = True
         if self._timer is not None:
             self._timer.cancel()
-        self._context.note_end(self, outcome, code)
+        self._context.record_end(self, outcome, code)
--- a/crankchute/core/forward_flow_test.py
+++ b/crankchute/core/forward_flow_test.py
@@ -278,7 +278,7 @@
     harness.submit(repeat=RESUME, is_stream=True)
     for retry_after_ms in (3000, 500):
         rejection = Rejection('full', at_server, retry_after_ms)
-        harness.desk.note_rejection(None, harness.port.calls[0], rejection)
+        harness.desk.record_rejection(None, harness.port.calls[0], rejection)
     until_ms = [one.paused_until_ms for one in harness.backends]
     assert until_ms[paused] == 3000
     assert sum(until_ms) == 3000
@@ -308,7 +308,7 @@
     _flow, sink = harness.submit(repeat=repeat)
     call = harness.port.calls[0]
     call.sent = sent
-    harness.desk.note_restarted(call.placement.backend)
+    harness.desk.record_restarted(call.placement.backend)
     assert call.cancelled
     assert len(harness.port.calls) == calls
     assert sink.events == expected
@@ -319,7 +319,7 @@
     harness.chooser.helpers = (PrefillHelper(harness.backends[2]),)
     harness.submit(repeat=RESUME, is_stream=True)
     first = harness.port.calls[0].placement
-    harness.desk.note_restarted(first.helpers[0].backend)
+    harness.desk.record_restarted(first.helpers[0].backend)
     assert len(harness.port.calls) == 2
     assert not first.backend.suspicion.failure_probability(0)
 
@@ -332,7 +332,7 @@
         for one in harness.backends
         if one is not harness.port.calls[0].placement.backend
     )
-    harness.desk.note_restarted(other)
+    harness.desk.record_restarted(other)
     assert (len(harness.port.calls), sink.events) == (1, [])
 
 
--- a/crankchute/core/group_flow.py
+++ b/crankchute/core/group_flow.py
@@ -109,7 +109,7 @@
     def on_attempt_not_run(self, attempt, rejection):
         """Replace a lost member, or restart if no member is lost."""
         self.attempt = None
-        self._context.note_attempt_end(self, attempt, rejection.code)
+        self._context.record_attempt_end(self, attempt, rejection.code)
         self._context.metrics.count('engine_refusals', rejection.code)
         lost = [member for member in self._members if self._is_lost(member)]
         if lost:
--- a/crankchute/core/group_flow_test.py
+++ b/crankchute/core/group_flow_test.py
@@ -41,7 +41,7 @@
             [make_listed_instance(f'engine-{number}') for number in range(3)]
         )
         for backend in fleet:
-            fleet.note_load(backend, make_load(0))
+            fleet.record_load(backend, make_load(0))
         ports = DispatcherPorts(
             engines=self.engines,
             timers=self.timers,
--- a/crankchute/core/lease.py
+++ b/crankchute/core/lease.py
@@ -139,7 +139,7 @@
 
         def on_answer(is_reserved):
             self._pending_reserves -= 1
-            self._note_reserve_answer(is_reserved)
+            self._record_reserve_answer(is_reserved)
             if self._is_released:
                 # The engine may have executed this order after the release.
                 self._retry_release()
@@ -147,15 +147,15 @@
 
         self._desk.port.reserve(self.helper, HOLD_MS, on_answer)
 
-    def _note_reserve_answer(self, is_reserved):
+    def _record_reserve_answer(self, is_reserved):
         now_ms = self._desk.now_ms()
         if is_reserved is None:
-            self._note_unanswered(RESERVE)
+            self._record_unanswered(RESERVE)
             self._late_until_ms = now_ms + _MAX_ORDER_DELAY_MS
         if is_reserved is not False:
             self._held_until_ms = now_ms + HOLD_MS
 
-    def _note_unanswered(self, order):
+    def _record_unanswered(self, order):
         self._desk.metrics.count('orders_unanswered', order)
         self._desk.journal.log_order_unanswered(
             order,
@@ -187,11 +187,11 @@
             the release was sent, a bool.
         """
         if not is_answered:
-            self._note_unanswered(RELEASE)
+            self._record_unanswered(RELEASE)
         elif is_conclusive and not self._is_freed:
             self._held_until_ms = 0
             if self._desk.now_ms() >= self._late_until_ms:
-                self._note_free()
+                self._record_free()
 
     def _retry_release(self):
         """Release the memory again, unless it is known to be free."""
@@ -202,7 +202,7 @@
         if self._pending_reserves or self._desk.now_ms() < until_ms:
             self._send_release()
         else:
-            self._note_free()
+            self._record_free()
 
     def _release_interval_ms(self):
         may_be_reserved = self._desk.now_ms() < self._held_until_ms
@@ -210,7 +210,7 @@
             return _LATE_RETRY_MS
         return _FIRST_RETRY_MS if self._release_count == 1 else _RETRY_MS
 
-    def _note_free(self):
+    def _record_free(self):
         self._is_freed = True
         self._release_timer.cancel()
         self._desk.journal.log_released(
--- a/crankchute/core/lease_machine_test.py
+++ b/crankchute/core/lease_machine_test.py
@@ -104,7 +104,7 @@
         if request.ended_ms is None and request.refused == []:
             request.is_used = request.is_used or self._holds_all(request)
             if request.is_used:
-                request.reservation.note_used()
+                request.reservation.record_used()
 
     @precondition(lambda machine: machine.requests)
     @rule(choice=st.integers(min_value=0))
--- a/crankchute/core/length_demand.py
+++ b/crankchute/core/length_demand.py
@@ -32,7 +32,7 @@
         self._short_count = float(0)
         self._updated_ms = float(0)
 
-    def note(self, work, now_ms):
+    def record(self, work, now_ms):
         """Record work sent by any instance.
 
         Args:
--- a/crankchute/core/length_demand_test.py
+++ b/crankchute/core/length_demand_test.py
@@ -14,9 +14,9 @@
     for number in range(long_count):
         work = make_work_item(f'{number}', 'e', prefill_ms=400, weight=20)
         work.is_decoding = number % 4 == 0
-        demand.note(work, now_ms)
+        demand.record(work, now_ms)
     for number in range(short_count):
-        demand.note(make_work_item(f's{number}', 'e', prefill_ms=25), now_ms)
+        demand.record(make_work_item(f's{number}', 'e', prefill_ms=25), now_ms)
 
 
 def record_steadily(demand, start_ms, seconds, **rates):
--- a/crankchute/core/limit_turns.py
+++ b/crankchute/core/limit_turns.py
@@ -125,7 +125,7 @@
             return True
         return self._rate(server) * _MS_PER_SECOND >= _MIN_HELPER_RATE
 
-    def note_sent(self, server):
+    def record_sent(self, server):
         """Count a request or message sent to a server.
 
         Args:
--- a/crankchute/core/limit_turns_test.py
+++ b/crankchute/core/limit_turns_test.py
@@ -36,7 +36,7 @@
 
     def send(self):
         self.sent_ms.append(self.now_ms)
-        self.limits.permits.note_sent(SERVER)
+        self.limits.permits.record_sent(SERVER)
 
     def advertise(self, limit):
         self.limits.advertised.receive_answer(SERVER, limit, self.now_ms)
--- a/crankchute/core/once_machine_test.py
+++ b/crankchute/core/once_machine_test.py
@@ -107,9 +107,9 @@
                 account='acc',
                 deadline_ms=now_ms + deadline_ms,
             )
-            self.router.submit(call, self.note_end)
+            self.router.submit(call, self.record_end)
         elif claim == Claim.RUNNING:
-            self.ledger.wait('acc', self.key, self.note_reported)
+            self.ledger.wait('acc', self.key, self.record_reported)
 
     @precondition(lambda machine: machine.services.waiting)
     @rule(answered=st.booleans())
@@ -168,13 +168,13 @@
         """Each admitted call has ended once or is in progress."""
         assert len(self.ends) + self.router.in_progress == self.admitted
 
-    def note_end(self, end):
+    def record_end(self, end):
         """Record the end of the call and report it to its caller."""
         self.ends.append(end)
         self.ledger.end('acc', self.key, end, 1)
-        self.note_reported(end)
+        self.record_reported(end)
 
-    def note_reported(self, end):
+    def record_reported(self, end):
         """Record an end that is reported to a caller."""
         outcome = getattr(end, 'outcome', Outcome.OK)
         if outcome == Outcome.NOT_RUN:
--- a/crankchute/core/placing_test.py
+++ b/crankchute/core/placing_test.py
@@ -37,7 +37,7 @@
     fleet.replace([make_listed_instance(name) for name in _NAMES])
     for backend in fleet:
         changes = loads.get(backend.identity.replace('-', '_'), {})
-        fleet.note_load(backend, make_load(0, **changes))
+        fleet.record_load(backend, make_load(0, **changes))
     return fleet
 
 
@@ -62,7 +62,7 @@
     prompt = b'x' * 400_000
     job = make_job(prompt=prompt, tokens=100_000)
     hashes = hash_blocks(prompt, b'small')
-    fleet.get('engine-3').prefix.note_event(1, hashes, [], 0)
+    fleet.get('engine-3').prefix.record_event(1, hashes, [], 0)
     choose = routing_policies['earliest-start']
     chosen = {choose(list(fleet), _view(job)).identity for _ in range(20)}
     assert chosen == {'engine-3'}
@@ -83,7 +83,7 @@
     """A gap clears the index; old events and old knowledge are ignored."""
     index = PrefixIndex()
     for sequence, stored, evicted in events:
-        index.note_event(sequence, stored, evicted, 0)
+        index.record_event(sequence, stored, evicted, 0)
     assert index.count_bytes([7], 0) == cached_blocks * 4096
     assert not index.count_bytes([7], 60_000)
 
@@ -133,15 +133,15 @@
     breaker = Breaker()
     for _ in range(3):
         assert breaker.allows(0)
-        breaker.note_failure(0)
+        breaker.record_failure(0)
     assert not breaker.allows(499)
     assert breaker.allows(500)
-    breaker.note_start()
+    breaker.record_start()
     assert not breaker.allows(500)
-    breaker.note_failure(500)
+    breaker.record_failure(500)
     assert not breaker.allows(1499)
-    breaker.note_start()
-    breaker.note_success()
+    breaker.record_start()
+    breaker.record_success()
     assert breaker.allows(1500)
 
 
@@ -150,7 +150,7 @@
     budget = RetryBudget()
     assert [budget.take() for _ in range(6)].count(True) == 5
     for _ in range(11):
-        budget.note_success()
+        budget.record_success()
     assert budget.take()
     assert not budget.take()
 
@@ -298,7 +298,7 @@
 def test_restarted_engine_loses_its_prefix_cache():
     """A new boot id means that the cache is empty."""
     backend = Backend(make_listed_instance('engine-0'))
-    backend.note_load(make_load(0))
-    backend.prefix.note_event(1, [7], [], 0)
-    backend.note_load(make_load(1, boot='another'))
+    backend.record_load(make_load(0))
+    backend.prefix.record_event(1, [7], [], 0)
+    backend.record_load(make_load(1, boot='another'))
     assert not backend.prefix.count_bytes([7], 1)
--- a/crankchute/core/prefix.py
+++ b/crankchute/core/prefix.py
@@ -52,7 +52,7 @@
         self._blocks.clear()
         self._sequence = None
 
-    def note_event(self, sequence, stored, evicted, now_ms):
+    def record_event(self, sequence, stored, evicted, now_ms):
         """Apply a cache event.
 
         Args:
@@ -70,7 +70,7 @@
         self._blocks.difference_update(evicted)
         self._updated_ms = now_ms
 
-    def note_up_to_date(self, now_ms):
+    def record_up_to_date(self, now_ms):
         """Record that the engine has no newer events.
 
         Args:
--- a/crankchute/core/prompt_admission.py
+++ b/crankchute/core/prompt_admission.py
@@ -81,7 +81,7 @@
         self._total = float(1)
         self._updated_ms = float(0)
 
-    def note(self, now_ms, *, is_admitted):
+    def record(self, now_ms, *, is_admitted):
         """Count a prompt.
 
         Args:
@@ -126,7 +126,7 @@
         )
         is_admitted = is_underserved or is_worth_admitting(estimate)
         for admission_rate in (similar, self._overall):
-            admission_rate.note(now_ms, is_admitted=is_admitted)
+            admission_rate.record(now_ms, is_admitted=is_admitted)
         return is_admitted
 
 
--- a/crankchute/core/proof.py
+++ b/crankchute/core/proof.py
@@ -32,7 +32,7 @@
         """Create without a confirmation."""
         self._requested_ms = None
 
-    def note(self, requested_ms):
+    def record(self, requested_ms):
         """Record a confirmation; an older one is ignored.
 
         Args:
--- a/crankchute/core/request_placing.py
+++ b/crankchute/core/request_placing.py
@@ -33,7 +33,7 @@
         if server is not None and not flow.ended:
             placement = chooser.choose_on_server(flow.job, server)
         if isinstance(placement, Placement):
-            chooser.note_sent(flow.job, placement)
+            chooser.record_sent(flow.job, placement)
             on_choice(placement)
         else:
             context.lending.discard_borrowed(server)
--- a/crankchute/core/request_placing_test.py
+++ b/crankchute/core/request_placing_test.py
@@ -38,7 +38,7 @@
         self.chosen.append(server)
         return self.server_choice
 
-    def note_sent(self, _job, placement):
+    def record_sent(self, _job, placement):
         self.sent.append(placement)
 
     def borrow(self, servers, on_done):
--- a/crankchute/core/reservations.py
+++ b/crankchute/core/reservations.py
@@ -95,7 +95,7 @@
         for lease in self._leases:
             self._acquire(lease)
 
-    def note_used(self):
+    def record_used(self):
         """Note that the request started to run, and resume paused renewals."""
         if not self._is_used:
             self._is_used = True
@@ -146,9 +146,9 @@
         if self._is_start_overdue() and not self._is_used:
             return
         for lease in self._leases:
-            lease.renew(self._note_renewed)
+            lease.renew(self._record_renewed)
 
-    def _note_renewed(self, is_renewed):
+    def _record_renewed(self, is_renewed):
         if not is_renewed:
             self._desk.metrics.count('renewals_lost')
 
--- a/crankchute/core/reservations_test.py
+++ b/crankchute/core/reservations_test.py
@@ -176,7 +176,7 @@
     """Renewals pause while the memory stays unused and resume with its use."""
     held = HeldReservation()
     if first_ms is not None:
-        held.timers.after(first_ms, held.reservation.note_used)
+        held.timers.after(first_ms, held.reservation.record_used)
     held.timers.advance(MAX_UNUSED_MS)
     assert held.is_held() == is_held
     held.timers.advance(20_000)
--- a/crankchute/core/retry_budget.py
+++ b/crankchute/core/retry_budget.py
@@ -18,7 +18,7 @@
         """Create a budget with a few initial retries."""
         self._tokens = float(_INITIAL_TOKENS)
 
-    def note_success(self):
+    def record_success(self):
         """Add the tokens earned by a success."""
         self._tokens = min(self._tokens + _TOKENS_PER_SUCCESS, _MAX_TOKENS)
 
--- a/crankchute/core/seen_load.py
+++ b/crankchute/core/seen_load.py
@@ -46,7 +46,7 @@
         self._requests = 0
         self._at_ms = float('-inf')
 
-    def note(self, load, known, now_ms):
+    def record(self, load, known, now_ms):
         """Record a report.
 
         Args:
--- a/crankchute/core/seen_load_test.py
+++ b/crankchute/core/seen_load_test.py
@@ -26,7 +26,7 @@
     def report(self, requests, age_ms=0):
         load = ReportedLoad(requests)
         load.age_ms = age_ms
-        self.state.note_load(load, self.now_ms)
+        self.state.record_load(load, self.now_ms)
 
     def count(self):
         return self.state.count_requests(self.now_ms, USUAL_MS)
--- a/crankchute/core/server_list.py
+++ b/crankchute/core/server_list.py
@@ -75,7 +75,7 @@
           asked_ms: The time on this process's clock.
         """
         if revision == self.revision:
-            self._proof.note(asked_ms)
+            self._proof.record(asked_ms)
 
     def proof_age_ms(self, now_ms):
         """Return how long ago this list was known to be the newest, or None.
--- a/crankchute/core/server_notice.py
+++ b/crankchute/core/server_notice.py
@@ -59,13 +59,13 @@
         self._limits = limits.advertised
         self._permits = limits.permits
 
-    def note_sent(self, backend):
+    def record_sent(self, backend):
         """Count a request of any kind against the server's limit.
 
         Args:
           backend: The Backend.
         """
-        self._permits.note_sent(backend.identity)
+        self._permits.record_sent(backend.identity)
 
     def take(self, backend, notice, sent_ms):
         """Apply a notice.
@@ -79,7 +79,7 @@
             self._log_changes(backend, notice)
         if notice.is_leaving:
             # The store may say so many seconds later.
-            self._fleet.note_drained(backend.identity)
+            self._fleet.record_drained(backend.identity)
         if notice.pause_ms:
             # The server looks idle, so it would be preferred to all others.
             self._pause(backend.identity, notice.pause_ms)
--- a/crankchute/core/service_flow.py
+++ b/crankchute/core/service_flow.py
@@ -143,7 +143,7 @@
                 reservations=None,
                 hints=self._hints,
                 crashes=ports.crashes,
-                note_moved=_ignore_moved,
+                record_moved=_ignore_moved,
                 find_chooser=self._find_chooser,
             ),
             _RETRY_LIMITS,
--- a/crankchute/core/sharing_test.py
+++ b/crankchute/core/sharing_test.py
@@ -494,7 +494,7 @@
     for server in servers:
         fleet.timers.advance(100)
         now_ms = fleet.timers.clock.now_ms()
-        fleet.histories[name].note_crash(server, now_ms, [CRASHING_REQUEST])
+        fleet.histories[name].record_crash(server, now_ms, [CRASHING_REQUEST])
 
 
 def list_holders(fleet):
--- a/crankchute/core/single_flow.py
+++ b/crankchute/core/single_flow.py
@@ -201,13 +201,13 @@
     def on_attempt_not_run(self, attempt, rejection):
         """Queue the request again after a refusal by an engine."""
         self.attempt = None
-        self._context.note_attempt_end(self, attempt, rejection.code)
-        self._context.note_rejection(self, attempt, rejection)
+        self._context.record_attempt_end(self, attempt, rejection.code)
+        self._context.record_rejection(self, attempt, rejection)
         self._context.requeue(self)
 
     def on_attempt_failed(self, attempt, exc):
         """Retry on another engine if the retry budget allows, or end."""
-        self._note_failed(attempt, exc)
+        self._record_failed(attempt, exc)
 
         def retry_or_fail():
             if self.ended or self._end_if_quarantined():
--- a/crankchute/core/sliding_budget.py
+++ b/crankchute/core/sliding_budget.py
@@ -61,7 +61,7 @@
         """
         self._limits = limits
 
-    def note_instances(self, count):
+    def record_instances(self, count):
         """Record the number of known instances.
 
         Args:
@@ -69,7 +69,7 @@
         """
         self._max_instances = max(self._max_instances, count)
 
-    def note_request(self, now_ms):
+    def record_request(self, now_ms):
         """Record a request of this instance.
 
         Args:
--- a/crankchute/core/sliding_budget_test.py
+++ b/crankchute/core/sliding_budget_test.py
@@ -16,7 +16,7 @@
 def test_retries_in_one_window(requests, slack, allowed):
     budget = make_budget(0.2, slack)
     for _ in range(requests):
-        budget.note_request(0)
+        budget.record_request(0)
     taken = sum(budget.take(500) for _ in range(200))
     assert taken == allowed
 
@@ -30,8 +30,8 @@
 
 def test_fewer_known_instances_do_not_enlarge_the_share():
     budget = make_budget(0, 100)
-    budget.note_instances(10)
-    budget.note_instances(2)
+    budget.record_instances(10)
+    budget.record_instances(2)
     assert sum(budget.take(0) for _ in range(100)) == 6
 
 
@@ -52,7 +52,7 @@
         now_ms += pause_ms
         budget = budgets[index % instances]
         if is_request:
-            budget.note_request(now_ms)
+            budget.record_request(now_ms)
             requests.append(now_ms)
         elif budget.take(now_ms):
             retries.append(now_ms)
@@ -63,7 +63,7 @@
 def make_budget(ratio, slack, instances=1):
     limits = RetryLimits(ratio=ratio, slack=slack, window_ms=WINDOW_MS)
     budget = SlidingRetryBudget(limits)
-    budget.note_instances(instances)
+    budget.record_instances(instances)
     return budget
 
 
--- a/crankchute/core/suspicion.py
+++ b/crankchute/core/suspicion.py
@@ -65,7 +65,7 @@
         self._own = OutcomeCounts(float(0), float(0), 0)
         self._others = {}
 
-    def note_failure(self, now_ms, weight=1):
+    def record_failure(self, now_ms, weight=1):
         """Record a failed request.
 
         Args:
@@ -83,7 +83,7 @@
         own = self._own.decay(now_ms)
         own.failures = max(own.failures - 1, 0)
 
-    def note_success(self, now_ms):
+    def record_success(self, now_ms):
         """Record an answered request.
 
         Args:
--- a/crankchute/core/suspicion_test.py
+++ b/crankchute/core/suspicion_test.py
@@ -39,9 +39,9 @@
 ):
     suspicion = FailureEstimator()
     for _ in range(failures):
-        suspicion.note_failure(0)
+        suspicion.record_failure(0)
     for _ in range(successes):
-        suspicion.note_success(0)
+        suspicion.record_success(0)
     if received is not None:
         suspicion.merge_remote('another', OutcomeCounts(*received, 0))
     assert round(suspicion.failure_probability(age_ms), 2) == rate
@@ -80,7 +80,7 @@
     for _ in range(35):
         job = make_job(size=SHORT)
         placement = chooser.choose(job, set())
-        chooser.note_sent(job, placement)
+        chooser.record_sent(job, placement)
         chosen.append(placement.backend.identity)
     assert max(chosen.count(one) for one in chosen) <= 7
     assert {'server-04', 'server-05'} <= set(chosen)
--- a/crankchute/core/turn_lending.py
+++ b/crankchute/core/turn_lending.py
@@ -47,7 +47,7 @@
         return PermitOffer(None, _MAX_REFUSAL_BACKOFF_MS)
     if not permits.has_permit(best):
         return PermitOffer(None, min(map(permits.wait_ms, servers)))
-    permits.note_sent(best)
+    permits.record_sent(best)
     return PermitOffer(best)
 
 
--- a/crankchute/core/turn_lending_test.py
+++ b/crankchute/core/turn_lending_test.py
@@ -58,7 +58,7 @@
     assert not permits.has_permit('a')
     assert harness.borrower.take('entry-1', PermitOffer('a')) == 'a'
     assert permits.has_permit('a')
-    permits.note_sent('a')
+    permits.record_sent('a')
     assert not permits.has_permit('a')
     harness.borrower.take('entry-1', PermitOffer('a'))
     permits.discard_borrowed('a')
--- a/crankchute/core/work_feed.py
+++ b/crankchute/core/work_feed.py
@@ -160,4 +160,4 @@
         work_tracker.replace(origin, batch.changes)
         return
     for one in batch.changes:
-        work_tracker.note(one)
+        work_tracker.record(one)
--- a/crankchute/core/work_feed_test.py
+++ b/crankchute/core/work_feed_test.py
@@ -60,7 +60,7 @@
         if not works:
             return
         news = WorkChange(change, works[0])
-        self.sender_work_tracker.note(news)
+        self.sender_work_tracker.record(news)
         self.outbox.append(news)
 
     @rule()
@@ -119,7 +119,7 @@
         self.flush()
         work = self.sender_work_tracker.list_work_of(None)[-1]
         ended = WorkChange(Change.ENDED, work)
-        self.sender_work_tracker.note(ended)
+        self.sender_work_tracker.record(ended)
         self.outbox.append(ended)
         self.flush()
         self.deliver(len(self.in_flight) - 1)
--- a/crankchute/entry/crash_gossip_test.py
+++ b/crankchute/entry/crash_gossip_test.py
@@ -28,7 +28,7 @@
     def crash(self, name, server):
         self.clock.time_ms += 100
         now_ms = self.clock.time_ms
-        self.histories[name].note_crash(server, now_ms, [CULPRIT])
+        self.histories[name].record_crash(server, now_ms, [CULPRIT])
 
     def probe(self, asker, asked):
         """Exchange gossip in both directions."""
--- a/crankchute/entry/forward_node.py
+++ b/crankchute/entry/forward_node.py
@@ -171,14 +171,14 @@
             reservations=self._reservations,
             hints=self._hints,
             crashes=self.crashes,
-            note_moved=self._on_moved,
+            record_moved=self._on_moved,
             find_chooser=self._find_chooser,
         )
         self.desk = Forwarder(ports, limits.retries)
         self._survey = InitialLoadPoll(
             wiring.reports,
             self.random,
-            self._note_report,
+            self._record_report,
         )
         self._forget_connections = wiring.port.forget
         self.fleet.subscribe_restarted(self._on_restarted)
@@ -226,12 +226,12 @@
         if self.on_draining is not None:
             self.on_draining()
 
-    def note_listed(self):
+    def record_listed(self):
         """Note that the backend servers are known, be they many or none."""
         self._has_listed = True
         self._check_informed()
 
-    def note_refused(self, request_id, refusal):
+    def record_refused(self, request_id, refusal):
         """Count and log a request that was refused before it was a job.
 
         Args:
@@ -295,7 +295,7 @@
     def _find_chooser(self, pool):
         return self._choosers.get(pool)
 
-    def _note_work(self, change, work):
+    def _record_work(self, change, work):
         """Tell the others of work, and learn what engines have at the first."""
         self.peers.sharing.report_work(change, work)
         self._survey.run(lambda: self._list_siblings(work.engine))
@@ -313,17 +313,17 @@
             if limit_of(one.identity) is None and now_ms >= one.paused_until_ms
         ]
 
-    def _note_report(self, backend, load):
+    def _record_report(self, backend, load):
         reporting = self.fleet.find_reporting(backend, load.born)
         if reporting is None:
             return
         chooser = self._find_chooser(self.fleet.pool_of(reporting))
         if chooser is not None:
-            chooser.note_polled_load(reporting, load)
+            chooser.record_polled_load(reporting, load)
 
     def _on_moved(self, backend):
         log_change('server_moved', server=backend.identity)
-        self.fleet.note_gone(backend.identity, is_seen=True)
+        self.fleet.record_gone(backend.identity, is_seen=True)
 
     def _on_held(self, fingerprint, servers):
         """Tell operators that a request is not sent any more."""
@@ -338,7 +338,7 @@
     def _on_restarted(self, backend):
         """Drop what goes by the earlier start of a server."""
         log_change('server_restarted', server=backend.identity)
-        self.desk.note_restarted(backend)
+        self.desk.record_restarted(backend)
         self.work_tracker.forget(backend.identity)
         self._forget_connections(backend)
 
@@ -359,7 +359,7 @@
             random=self.random,
             work_tracker=self.work_tracker,
             hints=self._hints,
-            announce_work=self._note_work,
+            announce_work=self._record_work,
             create_ticket_id=self._reservations.create_ticket_id,
             last_peer_message_age_ms=self.peers.sharing.last_peer_message_age_ms,
             data_centre=self.identity.data_centre,
@@ -369,7 +369,7 @@
         return choosers[name](parts)
 
     def _count_instances(self):
-        self.desk.note_instances(len(self.peers.membership))
+        self.desk.record_instances(len(self.peers.membership))
 
     def _check_stopped(self):
         waited_ms = self.now_ms() - self._stop_ms
--- a/crankchute/entry/forward_node_test.py
+++ b/crankchute/entry/forward_node_test.py
@@ -105,7 +105,7 @@
         self.list_server(100)
         config = ForwardConfig(1, [], [PoolConfig(POOL, 8, figures)])
         self.node.holder.offer(config, b'')
-        self.node.note_listed()
+        self.node.record_listed()
 
 
 @pytest.mark.parametrize('in_progress', [0, 1, 3])
--- a/crankchute/entry/forward_peers.py
+++ b/crankchute/entry/forward_peers.py
@@ -349,9 +349,9 @@
     def _take_servers(self, message):
         fleet = self._node.fleet
         for identity in message.draining_servers:
-            fleet.note_drained(identity)
+            fleet.record_drained(identity)
         for identity in message.removed_servers:
-            fleet.note_gone(identity)
+            fleet.record_gone(identity)
 
     def _take_server_health(self, message):
         for one in message.server_health:
--- a/crankchute/entry/owning.py
+++ b/crankchute/entry/owning.py
@@ -45,7 +45,7 @@
         """The ids of the engines owned now."""
         return self._ownership.owned()
 
-    def note_demand(self, job):
+    def record_demand(self, job):
         """Count a request towards its model's demand."""
         known = self._demand.get(job.model, 0)
         self._demand[job.model] = known + job.tokens
--- a/crankchute/entry/turn_lending_test.py
+++ b/crankchute/entry/turn_lending_test.py
@@ -51,7 +51,7 @@
 
 def leave(world):
     """Let the server leave, which the asker does not know yet."""
-    world.fleet.note_drained('a')
+    world.fleet.record_drained('a')
 
 
 def rest(world):
@@ -66,7 +66,7 @@
 
 def use_up(world):
     """Use the turn."""
-    world.limits.permits.note_sent('a')
+    world.limits.permits.record_sent('a')
 
 
 def test_turn_is_lent_once():
--- a/crankchute/load/runner.py
+++ b/crankchute/load/runner.py
@@ -92,7 +92,7 @@
             return None
         return expected_answer(self._model, prompt.encode(), part.max_tokens)
 
-    def note_end(self):
+    def record_end(self):
         """Count a request as ended."""
         self._open -= 1
 
@@ -142,5 +142,5 @@
         self._runner.send(self._arrival.part, self._prompt, self._on_end)
 
     def _on_end(self, end):
-        self._runner.note_end()
+        self._runner.record_end()
         self._report.note(self._arrival.tokens, end, self._wanted)
--- a/crankchute/platform/forwarding_test.py
+++ b/crankchute/platform/forwarding_test.py
@@ -83,7 +83,7 @@
             reservations=reservations,
             hints=RetryHints(random.Random(1)),
             crashes=CrashHistory(self.loop.timers.clock.now_ms),
-            note_moved=self.moved.append,
+            record_moved=self.moved.append,
             find_chooser=lambda _pool: chooser,
         )
         limits = RetryLimits(ratio=0, slack=100, window_ms=10_000)
@@ -233,7 +233,7 @@
 
     def tell_restart():
         world.backends[1] = _list_engine(engine)
-        world.desk.note_restarted(before)
+        world.desk.record_restarted(before)
 
     world.loop.timers.after(_RESTART_MS, tell_restart)
     assert world.submit() == WHOLE
@@ -241,7 +241,7 @@
     again = world.backends[1]
     assert again.identity != before.identity
     assert again.in_flight == before.in_flight == 0
-    world.backends[0].breaker.note_start()
+    world.backends[0].breaker.record_start()
     world.backends.pop(0)
     assert world.submit() == WHOLE
     assert len(engine.runs) == 2
--- a/crankchute/platform/node.py
+++ b/crankchute/platform/node.py
@@ -122,7 +122,7 @@
         self._listen_all(loop)
         self.node.holder.subscribe(self._on_config)
         self.node.on_draining = self._on_draining
-        self.node.on_serving = self._early.note_informed
+        self.node.on_serving = self._early.record_informed
         self._watch_store()
 
     def reload(self, settings):
@@ -232,7 +232,7 @@
         try:
             job = self._reader.read(exchange)
         except RequestRefused as refusal:
-            self.node.note_refused(exchange.header(REQUEST_ID), refusal)
+            self.node.record_refused(exchange.header(REQUEST_ID), refusal)
             raise
         flow = self.node.desk.submit(job, ExchangeAnswer(exchange))
         if not flow.ended:
--- a/crankchute/platform/published.py
+++ b/crankchute/platform/published.py
@@ -66,7 +66,7 @@
           node: A ForwardNode.
           clock: A Clock.
         """
-        self._on_listed = node.note_listed
+        self._on_listed = node.record_listed
         self._fleet = node.fleet
         self._servers = node.servers
         self._clock = clock
--- a/crankchute/platform/published_test.py
+++ b/crankchute/platform/published_test.py
@@ -54,7 +54,7 @@
         first = [make_entry(one, 3, write_server()) for one in ('a', 'b')]
         self.published.on_entries(first, 0, 5)
 
-    def note_listed(self):
+    def record_listed(self):
         self.listed += 1
 
     def members(self):
@@ -220,7 +220,7 @@
     world = World()
     entry = write_server(born=100)
     world.published.on_changes([make_entry('a', 6, entry)], 50)
-    world.fleet.note_drained('a@100')
+    world.fleet.record_drained('a@100')
     again = write_server(born=200)
     if tell == 'store':
         world.published.on_changes([make_entry('a', 7, again)], 60)
--- a/crankchute/platform/server_calls.py
+++ b/crankchute/platform/server_calls.py
@@ -20,7 +20,7 @@
 class _Ignorant:
     """Takes nothing, where nobody listens."""
 
-    def note_sent(self, backend):
+    def record_sent(self, backend):
         """See ServerNotices."""
 
     def take(self, backend, notice, sent_ms):
@@ -58,7 +58,7 @@
         """
         watched = _NoticingSink(sink, backend, self.listener)
         watched.sent_ms = self._clock.now_ms()
-        self.listener.note_sent(backend)
+        self.listener.record_sent(backend)
         watched.call = self._client.send(
             backend.listed.address,
             payload,
--- a/crankchute/platform/server_calls_test.py
+++ b/crankchute/platform/server_calls_test.py
@@ -63,7 +63,7 @@
     def __init__(self, told):
         self._told = told
 
-    def note_sent(self, backend):
+    def record_sent(self, backend):
         self._told.append((backend, 'sent'))
 
     def take(self, backend, notice, _sent_ms):
--- a/crankchute/platform/standin_world.py
+++ b/crankchute/platform/standin_world.py
@@ -129,7 +129,7 @@
         for engine in self.engines:
             if engine.is_up:
                 node.fleet.put(list_engine(engine))
-        node.note_listed()
+        node.record_listed()
         return node
 
     def start_engine(self):
--- a/crankchute/platform/store.py
+++ b/crankchute/platform/store.py
@@ -196,7 +196,7 @@
         def on_response(status, body):
             self._is_watching = False
             self._guard.cancel()
-            self._note_era(sink.headers)
+            self._record_era(sink.headers)
             if status == HTTPStatus.GONE:
                 self._at = None
                 self.start()
@@ -229,10 +229,10 @@
         except (KeyError, TypeError, ValueError) as exc:
             self._retry(f'{type(exc).__name__}: {exc}')
             return
-        self._note_sound()
+        self._record_sound()
         take(page)
 
-    def _note_era(self, headers):
+    def _record_era(self, headers):
         """Note how often the store came back, unless an answer is silent."""
         era = read_era(headers.get(STORE_ERA))
         if era is not None:
@@ -243,7 +243,7 @@
         self._call.cancel()
         self._retry('no answer in time')
 
-    def _note_sound(self):
+    def _record_sound(self):
         self._retry_ms = None
         if self._is_failing:
             self._is_failing = False
--- a/crankchute/platform/store_era_test.py
+++ b/crankchute/platform/store_era_test.py
@@ -80,7 +80,7 @@
         self.calls.append(FakeCall(path, sink))
         return self.calls[-1]
 
-    def note_listed(self):
+    def record_listed(self):
         """Nobody waits for the list here."""
 
     def members(self):
