--- a/bench/overload.py
+++ b/bench/overload.py
@@ -191,7 +191,7 @@
         figures = make_figures(usual_prompt=12_000, usual_answer=1250)
         backends = make_backends(engines)
         parts = make_chooser_parts(self.timers, lambda: backends)
-        parts.pool.figures = figures
+        parts.pool.engine_figures = figures
         parts.random = self._random
         parts.hints = RetryHints(self._random)
         parts.work_tracker = EngineWorkTracker(self.timers.clock.now_ms)
--- a/crankchute/adapters/forward_server_test.py
+++ b/crankchute/adapters/forward_server_test.py
@@ -14,9 +14,9 @@
 
 _LOOPBACK = '127.0.0.1'
 _LIMITS = IntakeLimits(
-    head_bytes=2000,
-    body_bytes=1000,
-    head_ms=5000,
+    max_header_bytes=2000,
+    max_body_bytes=1000,
+    header_timeout_ms=5000,
     body_rate=1,
 )
 _MANY = b'GET / HTTP/1.1\r\nHost: a\r\n%b' % (b'X: 1234567\r\n' * 300)
--- a/crankchute/adapters/http_intake.py
+++ b/crankchute/adapters/http_intake.py
@@ -21,27 +21,34 @@
 class IntakeLimits:
     """The bounds on one incoming request."""
 
-    __slots__ = ('body_bytes', 'body_rate', 'head_bytes', 'head_ms')
+    __slots__ = (
+        'max_body_bytes',
+        'body_rate',
+        'max_header_bytes',
+        'header_timeout_ms',
+    )
 
-    def __init__(self, *, head_bytes, body_bytes, head_ms, body_rate):
+    def __init__(
+        self, *, max_header_bytes, max_body_bytes, header_timeout_ms, body_rate
+    ):
         """Create the bounds.
 
         Args:
-          head_bytes: The largest request line and headers, in bytes.
-          body_bytes: The largest body, in bytes.
-          head_ms: Milliseconds in which the headers must arrive.
+          max_header_bytes: The largest request line and headers, in bytes.
+          max_body_bytes: The largest body, in bytes.
+          header_timeout_ms: Milliseconds in which the headers must arrive.
           body_rate: The slowest body accepted, in bytes a millisecond.
         """
-        self.head_bytes = head_bytes
-        self.body_bytes = body_bytes
-        self.head_ms = head_ms
+        self.max_header_bytes = max_header_bytes
+        self.max_body_bytes = max_body_bytes
+        self.header_timeout_ms = header_timeout_ms
         self.body_rate = body_rate
 
 
 DEFAULT_LIMITS = IntakeLimits(
-    head_bytes=_HEAD_BYTES,
-    body_bytes=_BODY_BYTES,
-    head_ms=_HEAD_MS,
+    max_header_bytes=_HEAD_BYTES,
+    max_body_bytes=_BODY_BYTES,
+    header_timeout_ms=_HEAD_MS,
     body_rate=_BYTES_PER_MS,
 )
 
@@ -128,7 +135,7 @@
             self._raise_cause(exc)
         except httptools.HttpParserError as exc:
             raise _bad_request(str(exc)) from exc
-        if not self._head_done and self._size > self._limits.head_bytes:
+        if not self._head_done and self._size > self._limits.max_header_bytes:
             raise _head_too_large(self._limits)
         if self._message_count > 1:
             raise _bad_request('pipelined requests are not supported')
@@ -143,7 +150,7 @@
         """
         if self.started_ms is None or self.done:
             return
-        allowed_ms = self._limits.head_ms
+        allowed_ms = self._limits.header_timeout_ms
         allowed_ms += self._body_size / self._limits.body_rate
         if now_ms - self.started_ms > allowed_ms:
             raise RequestRefused(
@@ -172,7 +179,7 @@
           text: The header's value, bytes.
         """
         self._head_size += len(name) + len(text)
-        if self._head_size > self._limits.head_bytes:
+        if self._head_size > self._limits.max_header_bytes:
             raise _head_too_large(self._limits)
         self.headers.append((name, text))
         key = name.lower()
@@ -206,7 +213,7 @@
         self.done = True
 
     def _check_body(self, size):
-        if size > self._limits.body_bytes:
+        if size > self._limits.max_body_bytes:
             raise RequestRefused(
                 HTTPStatus.REQUEST_ENTITY_TOO_LARGE,
                 'body_too_large',
@@ -227,5 +234,5 @@
     return RequestRefused(
         HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE,
         'headers_too_large',
-        f'the headers are over {limits.head_bytes} bytes',
+        f'the headers are over {limits.max_header_bytes} bytes',
     )
--- a/crankchute/commands/losses.py
+++ b/crankchute/commands/losses.py
@@ -3,8 +3,8 @@
 import sys
 
 from crankchute.commands.explain import read_logs
-from crankchute.core.log_losses import compare_predictions, split_losses
-from crankchute.core.log_stories import gather_stories
+from crankchute.core.log_losses import compare_predictions, summarize_losses
+from crankchute.core.log_stories import gather_traces
 
 _QUANTILES = (0.1, 0.5, 0.9)
 
@@ -21,39 +21,40 @@
 
 def run(flags, _environ):
     """Run the command; see main."""
-    stories = gather_stories(read_logs(flags.files))
-    if not stories:
+    traces = gather_traces(read_logs(flags.files))
+    if not traces:
         sys.stderr.write('no request is in these logs\n')
         return 1
-    for text in (*render_losses(stories), '', *render_predictions(stories)):
+    for text in (*render_losses(traces), '', *render_predictions(traces)):
         sys.stdout.write(f'{text}\n')
     return 0
 
 
-def render_losses(stories):
+def render_losses(traces):
     """Return the table of losses as lines for people.
 
     Args:
-      stories: A list of RequestTrace.
+      traces: A list of RequestTrace.
     """
-    tokens = sum(story.tokens for story in stories)
+    tokens = sum(trace.tokens for trace in traces)
     rows = [
-        f'{row.count:6} {row.after_start:11} {row.tokens / tokens:8.2%}'
-        f'  {row.cause}'
-        for row in split_losses(stories)
+        f'{summary.count:6} {summary.count_after_start:11}'
+        f' {summary.tokens / tokens:8.2%}'
+        f'  {summary.cause}'
+        for summary in summarize_losses(traces)
     ]
-    total = f'of {len(stories)} requests with {tokens} tokens'
+    total = f'of {len(traces)} requests with {tokens} tokens'
     return [' count after start   tokens  cause', *rows, total]
 
 
-def render_predictions(stories):
+def render_predictions(traces):
     """Return how first events compare with predictions, lines for people.
 
     Args:
-      stories: A list of RequestTrace.
+      traces: A list of RequestTrace.
     """
     heading = 'seen by predicted    count    p10    p50    p90'
-    found = compare_predictions(stories)
+    found = compare_predictions(traces)
     return [heading, *(_render_ratios(*one) for one in sorted(found.items()))]
 
 
--- a/crankchute/core/config_holder.py
+++ b/crankchute/core/config_holder.py
@@ -58,7 +58,7 @@
         """
         self._listeners.append(listener)
 
-    def changes_for(self, in_force, seen):
+    def list_missing_changes(self, in_force, seen):
         """Return the changes that another instance is missing.
 
         Args:
--- a/crankchute/core/config_test.py
+++ b/crankchute/core/config_test.py
@@ -91,7 +91,7 @@
     """All findings are reported together, each with its location."""
     with pytest.raises(ConfigError) as caught:
         load_config(1, _make_documents(**changes))
-    assert {finding.place for finding in caught.value.findings} == locations
+    assert {finding.location for finding in caught.value.findings} == locations
 
 
 def test_invalid_json_is_reported():
@@ -155,7 +155,7 @@
     restarted.offer(_make_changes(0, 2, models=[]))
     assert restarted.revision == 0
     restarted.offer(
-        peer.changes_for(restarted.revision, restarted.seen_revision)
+        peer.list_missing_changes(restarted.revision, restarted.seen_revision)
     )
     assert restarted.revision == 1
     assert restarted.seen_revision == 2
@@ -168,5 +168,5 @@
     holder.offer(_make_changes(0, 1, **extra))
     holder.offer(ChangeSet(1, 2, {'accounts/extra': Entry(2, None)}))
     newcomer = ConfigHolder()
-    newcomer.offer(holder.changes_for(0, 0))
+    newcomer.offer(holder.list_missing_changes(0, 0))
     assert set(newcomer.config.accounts) == {'north'}
--- a/crankchute/core/engine_chooser.py
+++ b/crankchute/core/engine_chooser.py
@@ -75,9 +75,9 @@
     def __init__(self, parts):
         """See Chooser."""
         super().__init__(parts)
-        self._figures = parts.pool.figures
+        self._figures = parts.pool.engine_figures
         self._work_tracker = parts.work_tracker
-        self._decode_ms = estimate_decode_ms(parts.pool.figures)
+        self._decode_ms = estimate_decode_ms(parts.pool.engine_figures)
         self._candidate_filter = CandidateFilter(parts)
         self._admission = PromptAdmission()
         self._placement_count = 0
--- a/crankchute/core/engine_shortlist.py
+++ b/crankchute/core/engine_shortlist.py
@@ -49,8 +49,10 @@
         self._work_tracker = parts.work_tracker
         self._is_connected = parts.is_connected
         self._data_centre = parts.data_centre
-        self._slots = parts.pool.figures.slots
-        self._slot_ms = estimate_decode_ms(parts.pool.figures) / self._slots
+        self._slots = parts.pool.engine_figures.slots
+        self._slot_ms = (
+            estimate_decode_ms(parts.pool.engine_figures) / self._slots
+        )
         self._members = None
         self._shuffled = []
         self._sorted_ids = []
--- a/crankchute/core/forward_config.py
+++ b/crankchute/core/forward_config.py
@@ -16,45 +16,59 @@
     Attributes:
       name: The pool's name.
       max_connections: The connection limit of one server, over all instances.
-      figures: The EngineFigures of the pool's engines, or None for services.
+      engine_figures: The EngineFigures of the pool's engines, or None for
+        services.
       health_path: The path of the servers' health check.
     """
 
-    __slots__ = ('figures', 'health_path', 'max_connections', 'name')
+    __slots__ = ('engine_figures', 'health_path', 'max_connections', 'name')
 
-    def __init__(self, name, max_connections, figures, health_path='/'):
+    def __init__(self, name, max_connections, engine_figures, health_path='/'):
         """Create a pool.
 
         Args:
           name: A string.
           max_connections: An int.
-          figures: EngineFigures or None.
+          engine_figures: EngineFigures or None.
           health_path: A string.
         """
         self.name = name
         self.max_connections = max_connections
-        self.figures = figures
+        self.engine_figures = engine_figures
         self.health_path = health_path
 
 
-class IntakeConfig:
+class RequestLimits:
     """Size and time limits for client connections and their requests."""
 
-    __slots__ = ('body_bytes', 'head_bytes', 'head_ms', 'idle_ms')
-
-    def __init__(self, *, head_bytes, body_bytes, head_ms, idle_ms):
+    __slots__ = (
+        'max_body_bytes',
+        'max_header_bytes',
+        'header_timeout_ms',
+        'idle_timeout_ms',
+    )
+
+    def __init__(
+        self,
+        *,
+        max_header_bytes,
+        max_body_bytes,
+        header_timeout_ms,
+        idle_timeout_ms,
+    ):
         """Create the limits.
 
         Args:
-          head_bytes: The maximum size of the headers, in bytes.
-          body_bytes: The maximum size of the body, in bytes.
-          head_ms: The timeout for receiving the headers, in milliseconds.
-          idle_ms: The timeout for idle connections, in milliseconds.
+          max_header_bytes: The maximum size of the headers, in bytes.
+          max_body_bytes: The maximum size of the body, in bytes.
+          header_timeout_ms: The timeout for receiving the headers, in
+            milliseconds.
+          idle_timeout_ms: The timeout for idle connections, in milliseconds.
         """
-        self.head_bytes = head_bytes
-        self.body_bytes = body_bytes
-        self.head_ms = head_ms
-        self.idle_ms = idle_ms
+        self.max_header_bytes = max_header_bytes
+        self.max_body_bytes = max_body_bytes
+        self.header_timeout_ms = header_timeout_ms
+        self.idle_timeout_ms = idle_timeout_ms
 
 
 class KeyOwner:
@@ -86,12 +100,14 @@
       routes: A RouteTable.
       pools: A map of names to PoolConfig.
       keys: A map of API keys to KeyOwner, or None if keys are not required.
-      intake: An IntakeConfig, or None if the document sets no limits.
+      request_limits: A RequestLimits, or None if the document sets no limits.
     """
 
-    __slots__ = ('intake', 'keys', 'pools', 'routes', 'version')
+    __slots__ = ('request_limits', 'keys', 'pools', 'routes', 'version')
 
-    def __init__(self, version, routes, pools, *, keys=None, intake=None):
+    def __init__(
+        self, version, routes, pools, *, keys=None, request_limits=None
+    ):
         """Create a configuration.
 
         Args:
@@ -99,13 +115,13 @@
           routes: An iterable of Route.
           pools: An iterable of PoolConfig.
           keys: See the class attributes.
-          intake: See the class attributes.
+          request_limits: See the class attributes.
         """
         self.version = version
         self.routes = RouteTable(routes)
         self.pools = {pool.name: pool for pool in pools}
         self.keys = keys
-        self.intake = intake
+        self.request_limits = request_limits
 
 
 class ForwardConfigHolder:
--- a/crankchute/core/log_losses.py
+++ b/crankchute/core/log_losses.py
@@ -18,11 +18,11 @@
     Attributes:
       cause: The name of the cause.
       count: The number of requests.
-      after_start: The number of them soon after their process started.
+      count_after_start: The number of them soon after their process started.
       tokens: The total length of their prompts, in tokens.
     """
 
-    __slots__ = ('after_start', 'cause', 'count', 'tokens')
+    __slots__ = ('count_after_start', 'cause', 'count', 'tokens')
 
     def __init__(self, cause):
         """Create a summary without requests.
@@ -32,17 +32,17 @@
         """
         self.cause = cause
         self.count = 0
-        self.after_start = 0
+        self.count_after_start = 0
         self.tokens = 0
 
     def add(self, trace):
         """Add the trace of a request to the totals."""
         self.count += 1
-        self.after_start += trace.is_after_start
+        self.count_after_start += trace.is_after_start
         self.tokens += trace.tokens
 
 
-def split_losses(traces):
+def summarize_losses(traces):
     """Group lost requests by cause.
 
     Args:
--- a/crankchute/core/log_losses_test.py
+++ b/crankchute/core/log_losses_test.py
@@ -3,8 +3,8 @@
 import pytest
 
 from crankchute.core.log_history import LogLine
-from crankchute.core.log_losses import compare_predictions, split_losses
-from crankchute.core.log_stories import gather_stories
+from crankchute.core.log_losses import compare_predictions, summarize_losses
+from crankchute.core.log_stories import gather_traces
 
 
 def make_line(message_type, timestamp_s=100, **fields):
@@ -96,7 +96,7 @@
 def test_lost_request_has_one_cause(lines, cause):
     if lines[0].message_type == 'attempt':
         lines = [make_request(), *lines]
-    summaries = split_losses(gather_stories(lines))
+    summaries = summarize_losses(gather_traces(lines))
     found = summaries[0].cause if summaries else None
     assert found == cause
     assert len(summaries) <= 1
@@ -109,8 +109,10 @@
         make_request(request='r2', timestamp_s=200, tokens=900),
         make_line('request_refused', request='r3', code='no_config'),
     ]
-    summaries = split_losses(gather_stories(lines))
-    assert [(summary.count, summary.after_start) for summary in summaries] == [
+    summaries = summarize_losses(gather_traces(lines))
+    assert [
+        (summary.count, summary.count_after_start) for summary in summaries
+    ] == [
         (1, 0),
         (2, 1),
     ]
@@ -127,7 +129,7 @@
         make_line('attempt', request='r2', predicted_ms=100, age_ms=0),
         make_line('attempt_end', request='r2', first_ms=90),
     ]
-    assert compare_predictions(gather_stories(lines)) == {
+    assert compare_predictions(gather_traces(lines)) == {
         ('<= 20000', True): [1.5],
         ('<= 100000', False): [0.9],
     }
--- a/crankchute/core/log_stories.py
+++ b/crankchute/core/log_stories.py
@@ -79,7 +79,7 @@
         return latency_ms is None or latency_ms > goal_ms
 
 
-def gather_stories(lines):
+def gather_traces(lines):
     """Assemble log lines into traces of requests.
 
     Args:
--- a/crankchute/core/ownership.py
+++ b/crankchute/core/ownership.py
@@ -87,7 +87,7 @@
 
     Attributes:
       fence: A Fence.
-      wanted: A EngineContents.
+      wanted: An EngineContents.
     """
 
     __slots__ = ('fence', 'wanted')
@@ -97,7 +97,7 @@
 
         Args:
           fence: A Fence.
-          wanted: A EngineContents.
+          wanted: An EngineContents.
         """
         self.fence = fence
         self.wanted = wanted
--- a/crankchute/core/server_limits.py
+++ b/crankchute/core/server_limits.py
@@ -62,7 +62,7 @@
         """Return whether this allows more requests than another report.
 
         Args:
-          other: A AdvertisedLimit.
+          other: An AdvertisedLimit.
         """
         if self.limit is None:
             return other.limit is not None
--- a/crankchute/entry/forward_node.py
+++ b/crankchute/entry/forward_node.py
@@ -351,7 +351,7 @@
         self._check_informed()
 
     def _make_chooser(self, pool):
-        name = LEAST_BUSY if pool.figures is None else PREDICTED
+        name = LEAST_BUSY if pool.engine_figures is None else PREDICTED
         parts = ChooserParts(
             pool=pool,
             members=lambda: self.fleet.members_of(pool.name),
--- a/crankchute/entry/forward_peers.py
+++ b/crankchute/entry/forward_peers.py
@@ -59,7 +59,7 @@
         """The version in force; refused ones are not kept."""
         return self._holder.version
 
-    def changes_for(self, in_force, _seen):
+    def list_missing_changes(self, in_force, _seen):
         """Return the configuration if another instance lacks it, or None."""
         version = self._holder.version
         if version <= in_force:
@@ -122,7 +122,7 @@
         """The same as revision."""
         return self._servers.revision
 
-    def changes_for(self, in_force, _seen):
+    def list_missing_changes(self, in_force, _seen):
         """Return what another instance lacks, or None."""
         return self._servers.changes_since(in_force)
 
--- a/crankchute/entry/forward_peers_test.py
+++ b/crankchute/entry/forward_peers_test.py
@@ -31,7 +31,9 @@
     teller = make_exchange(make_list(1, 2, 4), [])
     servers = make_list(*known)
     learner = make_exchange(servers, taken)
-    changes = teller.changes_for(learner.revision, learner.seen_revision)
+    changes = teller.list_missing_changes(
+        learner.revision, learner.seen_revision
+    )
     assert learner.offer(changes)
     assert set(taken[0].entries) == {'s1', 's2', 's4'}
     assert servers.revision == 4
@@ -42,7 +44,7 @@
     servers.apply_changes(
         ChangeSet(2, 5, {'s1': Entry(4, None), 's9': Entry(5, b'{}')})
     )
-    changes = make_exchange(servers, []).changes_for(2, 2)
+    changes = make_exchange(servers, []).list_missing_changes(2, 2)
     assert changes.since == 2
     assert set(changes.entries) == {'s1', 's9'}
 
@@ -54,7 +56,7 @@
 def test_nothing_is_handed_over_without_need(teller, learner):
     told = make_exchange(make_list(*teller), [])
     own = make_exchange(make_list(*learner), [])
-    assert told.changes_for(own.revision, own.seen_revision) is None
+    assert told.list_missing_changes(own.revision, own.seen_revision) is None
 
 
 @pytest.mark.parametrize(
@@ -72,7 +74,7 @@
         learner.offer(ForwardConfig(theirs, [], []), payload)
 
     own = ConfigExchange(learner, take)
-    changes = ConfigExchange(teller, None).changes_for(own.revision, 0)
+    changes = ConfigExchange(teller, None).list_missing_changes(own.revision, 0)
     assert (changes is not None) == rises
     if rises:
         assert own.offer(changes)
--- a/crankchute/entry/inventory.py
+++ b/crankchute/entry/inventory.py
@@ -40,7 +40,7 @@
         """
         self._listeners.append(listener)
 
-    def changes_for(self, in_force, _seen):
+    def list_missing_changes(self, in_force, _seen):
         """Return what another instance lacks, or None; see ConfigHolder."""
         if self._replica.revision > in_force:
             return self._replica.changes_since(in_force)
--- a/crankchute/entry/inventory_test.py
+++ b/crankchute/entry/inventory_test.py
@@ -31,7 +31,7 @@
     entries = {'good': Entry(1, _GOOD), 'bad': Entry(1, bad)}
     assert inventory.offer(ChangeSet(0, 1, entries))
     assert [record.identity for record in inventory.records] == ['engine-0']
-    assert [one.place for one in inventory.findings] == ['instances.bad']
+    assert [one.location for one in inventory.findings] == ['instances.bad']
 
 
 def test_list_never_goes_back():
--- a/crankchute/entry/limited_servers.py
+++ b/crankchute/entry/limited_servers.py
@@ -29,7 +29,7 @@
         node = self._node
         if not wants_requests(node.fleet, backend, node.now_ms()):
             return
-        if pool.figures is None:
+        if pool.engine_figures is None:
             self._reports.check_health(backend, pool.health_path)
         else:
             # It takes no place there, as the question for its health does.
--- a/crankchute/entry/peering.py
+++ b/crankchute/entry/peering.py
@@ -182,7 +182,7 @@
         changes = None
         if holder is not None:
             have = request.have
-            changes = holder.changes_for(have.in_force, have.seen)
+            changes = holder.list_missing_changes(have.in_force, have.seen)
         on_reply(write_changes(changes))
 
     def pull_if_behind(self, address, name, theirs):
--- a/crankchute/errors.py
+++ b/crankchute/errors.py
@@ -1,7 +1,7 @@
 """The exceptions of the project, and findings that are collected.
 
 An exception stops one operation.  A finding is a value: a check gathers all
-the findings it can make, each with its place, and reports them together.
+the findings it can make, each with its location, and reports them together.
 """
 
 from http import HTTPStatus
@@ -14,25 +14,25 @@
 class Finding:
     """One thing wrong with an input, and where it stands."""
 
-    __slots__ = ('place', 'text')
+    __slots__ = ('location', 'text')
 
-    def __init__(self, place, text):
+    def __init__(self, location, text):
         """Create a finding.
 
         Args:
-          place: A string that names the document, key or flag.
+          location: A string that names the document, key or flag.
           text: A string that says what is wrong there.
         """
-        self.place = place
+        self.location = location
         self.text = text
 
     def __str__(self):
         """Return the finding on one line."""
-        return f'{self.place}: {self.text}'
+        return f'{self.location}: {self.text}'
 
     def __repr__(self):
         """Return the finding as it would be written in code."""
-        return f'Finding({self.place!r}, {self.text!r})'
+        return f'Finding({self.location!r}, {self.text!r})'
 
 
 class FindingsError(CrankchuteError):
--- a/crankchute/platform/documents.py
+++ b/crankchute/platform/documents.py
@@ -5,7 +5,7 @@
 from crankchute.core.engine_model import EngineFigures
 from crankchute.core.forward_config import (
     ForwardConfig,
-    IntakeConfig,
+    RequestLimits,
     KeyOwner,
     PoolConfig,
 )
@@ -53,7 +53,7 @@
         routes,
         pools,
         keys=_read_keys(document.get('tenants')),
-        intake=_read_intake(document.get('limits')),
+        request_limits=_read_intake(document.get('limits')),
     )
 
 
@@ -133,9 +133,9 @@
 def _read_intake(limits):
     if not limits:
         return None
-    return IntakeConfig(
-        head_bytes=limits['max-header-bytes'],
-        body_bytes=limits['max-body-bytes'],
-        head_ms=limits['header-timeout-ms'],
-        idle_ms=limits['idle-timeout-ms'],
+    return RequestLimits(
+        max_header_bytes=limits['max-header-bytes'],
+        max_body_bytes=limits['max-body-bytes'],
+        header_timeout_ms=limits['header-timeout-ms'],
+        idle_timeout_ms=limits['idle-timeout-ms'],
     )
--- a/crankchute/platform/documents_test.py
+++ b/crankchute/platform/documents_test.py
@@ -67,11 +67,11 @@
     assert route.repeat == RetryMode.RESUME
     assert route.is_stream
     assert (route.goal_ms, route.gap_ms, route.timeout_ms) == (300, 250, 10_000)
-    assert config.pools['llm'].figures.read_per_ms == 206
-    assert config.pools['web'].figures is None
+    assert config.pools['llm'].engine_figures.read_per_ms == 206
+    assert config.pools['web'].engine_figures is None
     assert config.keys['k2'].account == 't'
     assert config.keys['k2'].priority == 2
-    assert config.intake.idle_ms == 15_000
+    assert config.request_limits.idle_timeout_ms == 15_000
 
 
 @pytest.mark.parametrize(
@@ -117,4 +117,4 @@
 def test_bad_configuration_is_a_finding(payload):
     with pytest.raises(ConfigError) as caught:
         read_config(payload)
-    assert caught.value.findings[0].place == 'op/config'
+    assert caught.value.findings[0].location == 'op/config'
--- a/crankchute/platform/node.py
+++ b/crankchute/platform/node.py
@@ -245,13 +245,13 @@
         return self._published_servers.take(changes)
 
     def _on_config(self, config):
-        intake = config.intake
-        if intake is not None:
-            self._server.idle_ms = intake.idle_ms
+        request_limits = config.request_limits
+        if request_limits is not None:
+            self._server.idle_ms = request_limits.idle_timeout_ms
             self._server.limits = IntakeLimits(
-                head_bytes=intake.head_bytes,
-                body_bytes=intake.body_bytes,
-                head_ms=intake.head_ms,
+                max_header_bytes=request_limits.max_header_bytes,
+                max_body_bytes=request_limits.max_body_bytes,
+                header_timeout_ms=request_limits.header_timeout_ms,
                 body_rate=_BYTES_PER_MS,
             )
 
--- a/crankchute/platform/requests.py
+++ b/crankchute/platform/requests.py
@@ -171,9 +171,9 @@
         A prompt of which no size is told can be placed by nothing else.
         """
         found = self._holder.config.pools.get(pool)
-        if found is None or found.figures is None:
+        if found is None or found.engine_figures is None:
             return None
-        usual = found.figures
+        usual = found.engine_figures
         return PromptSize(usual.usual_prompt, usual.usual_answer)
 
 
--- a/crankchute/platform/server_entries_test.py
+++ b/crankchute/platform/server_entries_test.py
@@ -57,7 +57,7 @@
     document.pop(name)
     with pytest.raises(ConfigError) as caught:
         read_server('i-1', orjson.dumps(document))
-    assert caught.value.findings[0].place == 'i-1'
+    assert caught.value.findings[0].location == 'i-1'
     assert name in caught.value.findings[0].text
 
 
@@ -129,7 +129,7 @@
 def test_key_that_is_no_name_names_no_server(identity):
     with pytest.raises(ConfigError) as caught:
         read_server(identity, write_entry())
-    assert caught.value.findings[0].place == 'servers'
+    assert caught.value.findings[0].location == 'servers'
 
 
 texts = st.text('a0:.-\r\u00fc', max_size=6)
--- a/crankchute/platform/settings_test.py
+++ b/crankchute/platform/settings_test.py
@@ -52,7 +52,7 @@
 def test_every_finding_names_its_place(changes, place):
     with pytest.raises(SettingsError) as caught:
         read_settings({**DOCUMENT, **changes})
-    assert place in {finding.place for finding in caught.value.findings}
+    assert place in {finding.location for finding in caught.value.findings}
 
 
 @pytest.mark.parametrize(
