--- a/bench/ablations.py
+++ b/bench/ablations.py
@@ -64,7 +64,7 @@
 
 _leave_out(
     'sharing of news',
-    f'{_CORE}/sharing.py',
+    f'{_CORE}/peer_exchange.py',
     'self._outbox.append(WorkChange(change, work))',
     'WorkChange(change, work)',
 )
@@ -76,7 +76,7 @@
 )
 _leave_out(
     'followers',
-    f'{_CORE}/sharing.py',
+    f'{_CORE}/peer_exchange.py',
     '_MAX_FOLLOWERS = 9',
     '_MAX_FOLLOWERS = 0',
 )
@@ -88,7 +88,7 @@
 )
 _leave_out(
     'reports at the start',
-    f'{_CORE}/load_survey.py',
+    f'{_CORE}/initial_load_poll.py',
     '_MAX_POLLED = 64',
     '_MAX_POLLED = 0',
 )
@@ -136,13 +136,13 @@
 )
 _leave_out(
     'suspicion',
-    f'{_CORE}/suspicion.py',
+    f'{_CORE}/failure_estimator.py',
     'return failures / (failures + successes + _PRIOR_SUCCESSES)',
     'return 0 * (failures + successes)',
 )
 _leave_out(
     'slowness',
-    f'{_CORE}/engine_board.py',
+    f'{_CORE}/engine_work.py',
     'return 1 + (self._slowness - 1) * decay',
     'return 1 + 0 * decay',
 )
--- a/bench/crash_ways.py
+++ b/bench/crash_ways.py
@@ -12,8 +12,8 @@
 from functools import partial
 
 from bench.model_desk import make_plain_desk
-from crankchute.core.crash_blame import blames
-from crankchute.core.crash_ledger import CrashHistory
+from crankchute.core.crash_attribution import blames
+from crankchute.core.crash_history import CrashHistory
 from crankchute.core.fakes import ManualTimers
 from crankchute.core.forward_fakes import (
     FakeSink,
@@ -23,7 +23,7 @@
 )
 from crankchute.core.forward_job import RetryMode
 from crankchute.core.outcomes import Outcome
-from crankchute.core.return_hints import RetryHints
+from crankchute.core.retry_hints import RetryHints
 from crankchute.errors import BackendError
 from crankchute.ports.forwarding import AnswerHead, ForwardPort
 
--- a/bench/limit_ways.py
+++ b/bench/limit_ways.py
@@ -20,11 +20,11 @@
     make_chooser_parts,
 )
 from crankchute.core.forward_job import RetryMode
-from crankchute.core.limit_desk import ServerRateLimits
+from crankchute.core.server_rate_limits import ServerRateLimits
 from crankchute.core.limit_shares import WINDOW_MS
 from crankchute.core.registry import Registry
-from crankchute.core.return_hints import RetryHints
-from crankchute.core.turn_lending import PermitBorrower, lend_permit
+from crankchute.core.retry_hints import RetryHints
+from crankchute.core.permit_lending import PermitBorrower, lend_permit
 from crankchute.ports.forwarding import AnswerHead, ForwardPort
 
 #: How instances share a limit, by name: functions of an Instance, called when it
--- a/bench/local_fleet.py
+++ b/bench/local_fleet.py
@@ -3,7 +3,7 @@
 import random
 from functools import partial
 
-from crankchute.core.config_check import load_config
+from crankchute.core.config_loader import load_config
 from crankchute.core.dispatcher import Dispatcher, DispatcherPorts
 from crankchute.core.fakes import (
     ManualTimers,
@@ -14,8 +14,8 @@
 )
 from crankchute.core.fleet import Fleet, LoadReport
 from crankchute.core.frames import Frame
-from crankchute.core.limits import AccountLimits
-from crankchute.core.prefix import hash_blocks
+from crankchute.core.account_limits import AccountLimits
+from crankchute.core.prefix_index import hash_blocks
 from crankchute.ports.engines import EnginePort, SegmentExport
 from crankchute.ports.metrics import Metrics
 from crankchute.standins.engine_model import EngineModel, EngineSettings, Work
--- a/bench/model_desk.py
+++ b/bench/model_desk.py
@@ -1,8 +1,8 @@
 """What the models of ways to deal with servers have in common."""
 
 from crankchute.core.choosers import LEAST_BUSY, choosers
-from crankchute.core.crash_ledger import CrashHistory
-from crankchute.core.forward_desk import Forwarder, ForwarderPorts
+from crankchute.core.crash_history import CrashHistory
+from crankchute.core.forwarder import Forwarder, ForwarderPorts
 from crankchute.core.forward_fakes import POOL, FakeJournal, FakeSink
 from crankchute.core.sliding_budget import RetryLimits
 from crankchute.ports.metrics import Metrics
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -13,11 +13,11 @@
 
 from bench.pass_engines import FreeMemory, PassEngines
 from crankchute.core.choosers import choosers
-from crankchute.core.crash_ledger import CrashHistory
-from crankchute.core.engine_board import EngineWorkTracker
+from crankchute.core.crash_history import CrashHistory
+from crankchute.core.engine_work import EngineWorkTracker
 from crankchute.core.engine_chooser import PREDICTED, EngineChooser
 from crankchute.core.fakes import ManualTimers
-from crankchute.core.forward_desk import Forwarder, ForwarderPorts
+from crankchute.core.forwarder import Forwarder, ForwarderPorts
 from crankchute.core.forward_fakes import (
     POOL,
     FakeJournal,
@@ -29,7 +29,7 @@
 from crankchute.core.forward_job import PromptSize, RetryMode
 from crankchute.core.outcomes import Outcome
 from crankchute.core.reservations import ReservationManager
-from crankchute.core.return_hints import RetryHints
+from crankchute.core.retry_hints import RetryHints
 from crankchute.core.sliding_budget import RetryLimits
 from crankchute.ports.forwarding import AnswerSink
 from crankchute.ports.metrics import Metrics
--- a/bench/rest_ways.py
+++ b/bench/rest_ways.py
@@ -20,7 +20,7 @@
 from crankchute.core.forward_job import RetryMode
 from crankchute.core.outcomes import Outcome
 from crankchute.core.registry import Registry
-from crankchute.core.return_hints import RetryHints
+from crankchute.core.retry_hints import RetryHints
 from crankchute.ports.forwarding import AnswerHead, ForwardPort, Rejection
 
 #: What an instance does with a server's wish, by name: functions of the World,
--- a/crankchute/adapters/crash_records.py
+++ b/crankchute/adapters/crash_records.py
@@ -1,6 +1,6 @@
 """Conversions of what instances remember of crashes to messages and back."""
 
-from crankchute.core.crash_news import (
+from crankchute.core.crash_report import (
     ClearedRequest,
     Crash,
     CrashReport,
--- a/crankchute/adapters/peer_records_test.py
+++ b/crankchute/adapters/peer_records_test.py
@@ -8,17 +8,17 @@
     write_message,
     write_member,
 )
-from crankchute.core.briefing import PeerMessage, WorkBatch, WorkChange
-from crankchute.core.crash_news import (
+from crankchute.core.peer_message import PeerMessage, WorkBatch, WorkChange
+from crankchute.core.crash_report import (
     ClearedRequest,
     Crash,
     CrashReport,
     QuarantinedRequest,
 )
-from crankchute.core.engine_board import Change, EngineWorkTracker
+from crankchute.core.engine_work import Change, EngineWorkTracker
 from crankchute.core.engine_fakes import make_work_item
 from crankchute.core.membership import Member
-from crankchute.core.server_limits import AdvertisedLimit
+from crankchute.core.advertised_limits import AdvertisedLimit
 from crankchute.core.work_feed import apply_batch
 from crankchute.proto import peer_pb2
 
--- a/crankchute/adapters/service_http_test.py
+++ b/crankchute/adapters/service_http_test.py
@@ -4,7 +4,7 @@
 
 from crankchute.adapters.service_http import HttpServices
 from crankchute.core.forward_fakes import ForwardHarness
-from crankchute.core.service_flow import ServiceCall
+from crankchute.core.service_router import ServiceCall
 
 
 class FakeClient:
--- a/crankchute/commands/check.py
+++ b/crankchute/commands/check.py
@@ -7,7 +7,7 @@
 import sys
 from pathlib import Path
 
-from crankchute.core.config_check import load_config
+from crankchute.core.config_loader import load_config
 from crankchute.errors import ConfigError, Finding
 
 _SUFFIX = '.json'
--- a/crankchute/commands/explain.py
+++ b/crankchute/commands/explain.py
@@ -5,7 +5,11 @@
 
 import orjson
 
-from crankchute.core.log_history import LogLine, find_history, render_history
+from crankchute.core.request_history import (
+    LogLine,
+    find_history,
+    render_history,
+)
 from crankchute.errors import Finding, SettingsError
 
 #: Collectors put the time and the instance before a line.
--- a/crankchute/commands/losses.py
+++ b/crankchute/commands/losses.py
@@ -3,8 +3,8 @@
 import sys
 
 from crankchute.commands.explain import read_logs
-from crankchute.core.log_losses import compare_predictions, summarize_losses
-from crankchute.core.log_stories import gather_traces
+from crankchute.core.loss_report import compare_predictions, summarize_losses
+from crankchute.core.request_traces import gather_traces
 
 _QUANTILES = (0.1, 0.5, 0.9)
 
--- a/crankchute/core/limits_test.py
+++ b/crankchute/core/account_limits_test.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 
 from crankchute.core.config import Account
-from crankchute.core.limits import AccountUsage, Portion
+from crankchute.core.account_limits import AccountUsage, Portion
 
 _WIDTH = 3
 _TOLERANCE = 1e-9
--- a/crankchute/core/server_limits_test.py
+++ b/crankchute/core/advertised_limits_test.py
@@ -5,7 +5,7 @@
 import pytest
 
 from crankchute.core.fakes import ManualTimers
-from crankchute.core.server_limits import AdvertisedLimit, AdvertisedLimits
+from crankchute.core.advertised_limits import AdvertisedLimit, AdvertisedLimits
 
 SERVER = 'i-1'
 
--- a/crankchute/core/engine_shortlist_test.py
+++ b/crankchute/core/candidate_filter_test.py
@@ -6,7 +6,7 @@
 
 from crankchute.core.engine_chooser import EngineChooser
 from crankchute.core.engine_fakes import make_work_item
-from crankchute.core.engine_shortlist import CandidateFilter
+from crankchute.core.candidate_filter import CandidateFilter
 from crankchute.core.fakes import ManualTimers
 from crankchute.core.forward_fakes import (
     make_backends,
@@ -16,7 +16,7 @@
 from crankchute.core.forward_job import PromptSize
 
 NO_LIMIT = 10_000
-MODULE = 'crankchute.core.engine_shortlist'
+MODULE = 'crankchute.core.candidate_filter'
 STARTED_OF_TEN = 7
 TEN = 10
 
--- a/crankchute/core/flow_desk.py
+++ b/crankchute/core/completion_context.py
@@ -1,8 +1,8 @@
 """Engine selection, retries and queueing for the flows of completions."""
 
-from crankchute.core.attempt_desk import AttemptContext
+from crankchute.core.attempt_context import AttemptContext
 from crankchute.core.candidates import is_usable
-from crankchute.core.crash_watch import CrashDetector
+from crankchute.core.crash_detector import CrashDetector
 from crankchute.core.forward_job import Placement
 from crankchute.core.policies import (
     RoutingView,
--- a/crankchute/core/completion_machine_test.py
+++ b/crankchute/core/completion_machine_test.py
@@ -15,7 +15,7 @@
     rule,
 )
 
-from crankchute.core.config_check import load_config
+from crankchute.core.config_loader import load_config
 from crankchute.core.dispatcher import Dispatcher, DispatcherPorts
 from crankchute.core.fakes import (
     FakeEngines,
@@ -27,7 +27,7 @@
     make_load,
 )
 from crankchute.core.fleet import Fleet
-from crankchute.core.limits import AccountLimits
+from crankchute.core.account_limits import AccountLimits
 from crankchute.errors import BackendError
 from crankchute.ports.metrics import Metrics
 
--- a/crankchute/core/config_holder.py
+++ b/crankchute/core/config_holder.py
@@ -6,7 +6,7 @@
 revision number ever decreases.
 """
 
-from crankchute.core.config_check import load_config
+from crankchute.core.config_loader import load_config
 from crankchute.core.replica import Replica
 from crankchute.errors import ConfigError, StaleRevisionError
 
--- a/crankchute/core/config_check.py
+++ b/crankchute/core/config_loader.py
@@ -9,7 +9,7 @@
 from collections import Counter
 
 from crankchute.core.config import Config, Policy
-from crankchute.core.config_documents import (
+from crankchute.core.config_validation import (
     LIST_SECTIONS,
     POLICY_SECTION,
     validate_document,
--- a/crankchute/core/crash_blame_test.py
+++ b/crankchute/core/crash_attribution_test.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from crankchute.core.crash_blame import attribute_by_lead
-from crankchute.core.crash_news import Crash
+from crankchute.core.crash_attribution import attribute_by_lead
+from crankchute.core.crash_report import Crash
 
 CULPRIT = 1
 OTHER = 2
--- a/crankchute/core/crash_watch.py
+++ b/crankchute/core/crash_detector.py
@@ -8,8 +8,8 @@
 
 from functools import partial
 
-from crankchute.core.crash_blame import CRASHES_TO_QUARANTINE
-from crankchute.core.crash_ledger import RETENTION_MS
+from crankchute.core.crash_attribution import CRASHES_TO_QUARANTINE
+from crankchute.core.crash_history import RETENTION_MS
 from crankchute.core.outcomes import refuse_not_run
 
 #: How long an exiting process may take to close its listening socket.
--- a/crankchute/core/crash_ledger.py
+++ b/crankchute/core/crash_history.py
@@ -17,8 +17,8 @@
 
 import xxhash
 
-from crankchute.core.crash_blame import attribute_by_lead
-from crankchute.core.crash_news import (
+from crankchute.core.crash_attribution import attribute_by_lead
+from crankchute.core.crash_report import (
     ClearedRequest,
     Crash,
     CrashReport,
--- a/crankchute/core/crash_ledger_test.py
+++ b/crankchute/core/crash_history_test.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from crankchute.core.crash_ledger import RETENTION_MS, CrashHistory
+from crankchute.core.crash_history import RETENTION_MS, CrashHistory
 from crankchute.core.fakes import ManualClock
 
 CULPRIT = 1
--- a/crankchute/core/engine_chooser.py
+++ b/crankchute/core/engine_chooser.py
@@ -9,7 +9,7 @@
 """
 
 from crankchute.core.choosers import Chooser, choosers
-from crankchute.core.engine_board import Change, WorkItem
+from crankchute.core.engine_work import Change, WorkItem
 from crankchute.core.engine_model import (
     estimate_decode_ms,
     estimate_pass_ms,
@@ -25,7 +25,7 @@
     estimate_late_probability,
     estimate_worth,
 )
-from crankchute.core.engine_shortlist import CandidateFilter
+from crankchute.core.candidate_filter import CandidateFilter
 from crankchute.core.forward_job import (
     PlacementEstimate,
     PrefillHelper,
--- a/crankchute/core/engine_chooser_test.py
+++ b/crankchute/core/engine_chooser_test.py
@@ -4,7 +4,7 @@
 
 from crankchute.core.engine_fakes import make_work_item
 from crankchute.core.engine_chooser import EngineChooser
-from crankchute.core.engine_board import Change
+from crankchute.core.engine_work import Change
 from crankchute.core.fakes import ManualTimers
 from crankchute.core.forward_attempt import Attempt
 from crankchute.core.forward_fakes import (
@@ -15,7 +15,7 @@
 )
 from crankchute.core.forward_job import PromptSize, RetryMode
 from crankchute.core.outcomes import Refusal
-from crankchute.core.seen_load import ReportedLoad
+from crankchute.core.reported_load import ReportedLoad
 from crankchute.ports.forwarding import AnswerHead, StreamEvent
 
 SHORT = PromptSize(5_000, 1_000)
--- a/crankchute/core/engine_fakes.py
+++ b/crankchute/core/engine_fakes.py
@@ -1,7 +1,7 @@
 """Test doubles of engines and their load reports."""
 
-from crankchute.core.engine_board import WorkItem
-from crankchute.core.load_survey import ReportPort
+from crankchute.core.engine_work import WorkItem
+from crankchute.core.initial_load_poll import ReportPort
 
 _FIRST_EVENT_DUE_MS = 300
 
--- a/crankchute/core/engine_board.py
+++ b/crankchute/core/engine_work.py
@@ -10,7 +10,7 @@
 import heapq
 
 from crankchute.core.length_demand import LengthDemand
-from crankchute.core.seen_load import UnknownLoad
+from crankchute.core.reported_load import UnknownLoad
 
 #: Typical duration of a scheduler pass with decoding requests, in
 #: milliseconds; used only to mark delayed requests.
--- a/crankchute/core/engine_board_test.py
+++ b/crankchute/core/engine_work_test.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 
 from crankchute.core.engine_fakes import make_work_item
-from crankchute.core.engine_board import EngineWorkTracker
+from crankchute.core.engine_work import EngineWorkTracker
 
 ENGINE = 'engine-1'
 
--- a/crankchute/core/suspicion_test.py
+++ b/crankchute/core/failure_estimator_test.py
@@ -12,7 +12,7 @@
     make_chooser_parts,
 )
 from crankchute.core.forward_job import PromptSize
-from crankchute.core.suspicion import OutcomeCounts, FailureEstimator
+from crankchute.core.failure_estimator import OutcomeCounts, FailureEstimator
 from crankchute.errors import BackendError
 from crankchute.ports.forwarding import AnswerHead
 
--- a/crankchute/core/fleet.py
+++ b/crankchute/core/fleet.py
@@ -9,8 +9,8 @@
 from crankchute.core.breaker import Breaker
 from crankchute.core.labels import match_labels
 from crankchute.core.ownership import EngineContents
-from crankchute.core.prefix import PrefixIndex
-from crankchute.core.suspicion import FailureEstimator
+from crankchute.core.prefix_index import PrefixIndex
+from crankchute.core.failure_estimator import FailureEstimator
 
 #: The greatest age of an engine's load figures when its report arrives.
 _REPORT_LAG_MS = 200
--- a/crankchute/core/forward_config.py
+++ b/crankchute/core/forward_config.py
@@ -6,7 +6,7 @@
 that loses only its own connection to the platform can keep serving.
 """
 
-from crankchute.core.proof import FreshnessProof
+from crankchute.core.freshness_proof import FreshnessProof
 from crankchute.core.route_table import RouteTable
 
 
--- a/crankchute/core/forward_fakes.py
+++ b/crankchute/core/forward_fakes.py
@@ -3,21 +3,21 @@
 from random import Random
 
 from crankchute.core.choosers import Chooser, ChooserParts
-from crankchute.core.crash_ledger import CrashHistory
-from crankchute.core.engine_board import EngineWorkTracker
+from crankchute.core.crash_history import CrashHistory
+from crankchute.core.engine_work import EngineWorkTracker
 from crankchute.core.engine_model import EngineFigures
 from crankchute.core.fakes import ManualTimers
 from crankchute.core.fleet import Backend, ListedServer
 from crankchute.core.forward_config import PoolConfig
-from crankchute.core.forward_desk import Forwarder, ForwarderPorts
+from crankchute.core.forwarder import Forwarder, ForwarderPorts
 from crankchute.core.forward_job import (
     ForwardJob,
     Placement,
     PromptSize,
     RetryMode,
 )
-from crankchute.core.limit_desk import ServerRateLimits
-from crankchute.core.return_hints import RetryHints
+from crankchute.core.server_rate_limits import ServerRateLimits
+from crankchute.core.retry_hints import RetryHints
 from crankchute.core.reservations import ReservationManager, ReservationPort
 from crankchute.core.sliding_budget import RetryLimits
 from crankchute.ports.forwarding import AnswerSink, ForwardPort
--- a/crankchute/core/forward_fleet.py
+++ b/crankchute/core/forward_fleet.py
@@ -14,7 +14,7 @@
 """
 
 from crankchute.core.fleet import LEAVING, Backend
-from crankchute.core.server_rests import ServerPauses
+from crankchute.core.server_pauses import ServerPauses
 
 #: How long an entry is kept that may have expired only because the store was
 #: unavailable.
--- a/crankchute/core/forward_flow.py
+++ b/crankchute/core/forward_flow.py
@@ -9,7 +9,7 @@
 
 from crankchute.core.forward_attempt import FIRST_SERVER_ERROR, Attempt
 from crankchute.core.outcomes import Outcome, Refusal, refuse_not_run
-from crankchute.core.request_placing import place_request
+from crankchute.core.request_placement import place_request
 
 
 class ForwardFlow:
--- a/crankchute/core/forward_desk.py
+++ b/crankchute/core/forwarder.py
@@ -5,16 +5,16 @@
 experiments.
 """
 
-from crankchute.core.attempt_desk import (
+from crankchute.core.attempt_context import (
     DEFAULT_RETRY_AFTER_MS,
     AttemptContext,
 )
-from crankchute.core.crash_watch import CrashDetector
+from crankchute.core.crash_detector import CrashDetector
 from crankchute.core.forward_flow import ForwardFlow
 from crankchute.core.forward_job import Placement
 from crankchute.core.outcomes import Outcome, refuse_not_run
 from crankchute.core.sliding_budget import SlidingRetryBudget
-from crankchute.core.turn_lending import NoLending
+from crankchute.core.permit_lending import NoLending
 from crankchute.ports.forwarding import MOVED
 
 
--- a/crankchute/core/proof_test.py
+++ b/crankchute/core/freshness_proof_test.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from crankchute.core.proof import choose_max_age_ms
+from crankchute.core.freshness_proof import choose_max_age_ms
 
 
 @pytest.mark.parametrize(
--- a/crankchute/core/limit_turns_test.py
+++ b/crankchute/core/limit_permits_test.py
@@ -3,7 +3,7 @@
 import pytest
 
 from crankchute.core.fakes import ManualTimers
-from crankchute.core.limit_desk import ServerRateLimits
+from crankchute.core.server_rate_limits import ServerRateLimits
 
 SERVER = 'i-1'
 _WINDOW_MS = 4000
--- a/crankchute/core/limit_questions.py
+++ b/crankchute/core/limit_probes.py
@@ -5,7 +5,7 @@
 instances that know of the limit probes it, to use little of the limit.
 """
 
-from crankchute.core.limit_turns import PROBE_INTERVAL_MS
+from crankchute.core.limit_permits import PROBE_INTERVAL_MS
 
 _CHECK_INTERVAL_MS = 500
 #: A limit that was not refreshed for this long is probed by any instance.
--- a/crankchute/core/log_losses_test.py
+++ b/crankchute/core/loss_report_test.py
@@ -2,9 +2,9 @@
 
 import pytest
 
-from crankchute.core.log_history import LogLine
-from crankchute.core.log_losses import compare_predictions, summarize_losses
-from crankchute.core.log_stories import gather_traces
+from crankchute.core.request_history import LogLine
+from crankchute.core.loss_report import compare_predictions, summarize_losses
+from crankchute.core.request_traces import gather_traces
 
 
 def make_line(message_type, timestamp_s=100, **fields):
--- a/crankchute/core/once_machine_test.py
+++ b/crankchute/core/once_machine_test.py
@@ -15,7 +15,7 @@
     rule,
 )
 
-from crankchute.core.config_check import load_config
+from crankchute.core.config_loader import load_config
 from crankchute.core.dispatcher import DispatcherPorts
 from crankchute.core.fakes import (
     ManualTimers,
@@ -24,9 +24,9 @@
 )
 from crankchute.core.fleet import Fleet
 from crankchute.core.forward_fakes import FakeJournal
-from crankchute.core.keys import Binding, Claim, KeyLedger, RequestKey
+from crankchute.core.request_keys import Binding, Claim, KeyLedger, RequestKey
 from crankchute.core.outcomes import Outcome
-from crankchute.core.service_flow import ServiceCall, ServiceRouter
+from crankchute.core.service_router import ServiceCall, ServiceRouter
 from crankchute.errors import BackendError
 from crankchute.ports.metrics import Metrics
 from crankchute.ports.forwarding import AnswerHead, ForwardPort, Rejection
--- a/crankchute/core/sharing.py
+++ b/crankchute/core/peer_exchange.py
@@ -24,7 +24,7 @@
     HOME_POLL_INTERVAL_MS,
     ActiveInstances,
 )
-from crankchute.core.briefing import WorkChange
+from crankchute.core.peer_message import WorkChange
 from crankchute.core.work_feed import apply_batch
 
 #: Changes are collected for this long and sent together.
--- a/crankchute/core/sharing_test.py
+++ b/crankchute/core/peer_exchange_test.py
@@ -8,12 +8,12 @@
 
 from crankchute.core.engine_fakes import make_work_item
 from crankchute.core.active_choice import Ranking, count_active
-from crankchute.core.briefing import PeerMessage
-from crankchute.core.crash_ledger import CrashHistory
-from crankchute.core.engine_board import Change, EngineWorkTracker
+from crankchute.core.peer_message import PeerMessage
+from crankchute.core.crash_history import CrashHistory
+from crankchute.core.engine_work import Change, EngineWorkTracker
 from crankchute.core.fakes import ManualTimers
 from crankchute.core.membership import Member
-from crankchute.core.sharing import PeerExchange, PeerExchangeParts
+from crankchute.core.peer_exchange import PeerExchange, PeerExchangeParts
 
 
 def make_members(names):
--- a/crankchute/core/turn_lending_test.py
+++ b/crankchute/core/permit_lending_test.py
@@ -5,8 +5,8 @@
 import pytest
 
 from crankchute.core.fakes import ManualTimers
-from crankchute.core.limit_desk import ServerRateLimits
-from crankchute.core.turn_lending import (
+from crankchute.core.server_rate_limits import ServerRateLimits
+from crankchute.core.permit_lending import (
     PermitBorrower,
     PermitOffer,
     lend_permit,
--- a/crankchute/core/policies.py
+++ b/crankchute/core/policies.py
@@ -5,7 +5,7 @@
 ones serve as baselines for benchmarks.
 """
 
-from crankchute.core.prefix import hash_blocks
+from crankchute.core.prefix_index import hash_blocks
 from crankchute.core.registry import Registry
 
 routing_policies = Registry()
--- a/crankchute/core/seen_load_test.py
+++ b/crankchute/core/reported_load_test.py
@@ -6,10 +6,10 @@
 import pytest
 
 from crankchute.core.engine_fakes import FakeReports, make_work_item
-from crankchute.core.engine_board import EngineWorkTracker
+from crankchute.core.engine_work import EngineWorkTracker
 from crankchute.core.forward_fakes import make_backends
-from crankchute.core.load_survey import InitialLoadPoll
-from crankchute.core.seen_load import ReportedLoad
+from crankchute.core.initial_load_poll import InitialLoadPoll
+from crankchute.core.reported_load import ReportedLoad
 
 ENGINE = 'engine-1'
 USUAL_MS = 2000
--- a/crankchute/core/keys_test.py
+++ b/crankchute/core/request_keys_test.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from crankchute.core.keys import (
+from crankchute.core.request_keys import (
     Binding,
     Claim,
     KeyLedger,
--- a/crankchute/core/request_placing_test.py
+++ b/crankchute/core/request_placement_test.py
@@ -5,7 +5,7 @@
 from crankchute.core.choosers import PAUSED_OR_LIMITED
 from crankchute.core.forward_job import Placement
 from crankchute.core.outcomes import refuse_not_run
-from crankchute.core.request_placing import place_request
+from crankchute.core.request_placement import place_request
 
 
 class World:
--- a/crankchute/core/return_hints_test.py
+++ b/crankchute/core/retry_hints_test.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from crankchute.core.return_hints import RetryHints
+from crankchute.core.retry_hints import RetryHints
 
 
 @pytest.mark.parametrize(
--- a/crankchute/core/placing_test.py
+++ b/crankchute/core/routing_test.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from crankchute.core.addresses import (
+from crankchute.core.instance_assignment import (
     choose_instances,
     choose_owner,
     is_platform_reader,
@@ -12,7 +12,7 @@
 from crankchute.core.breaker import Breaker
 from crankchute.core.candidates import list_candidates
 from crankchute.core.config import Pool
-from crankchute.core.config_check import load_config
+from crankchute.core.config_loader import load_config
 from crankchute.core.fair_queue import FairQueue
 from crankchute.core.fakes import (
     make_config_documents,
@@ -24,9 +24,13 @@
 from crankchute.core.hashing import rank_by_hash
 from crankchute.core.membership import Member, Status
 from crankchute.core.ownership import EngineContents, Ownership
-from crankchute.core.placement import PoolEngine, may_change_models, plan_models
+from crankchute.core.model_assignment import (
+    PoolEngine,
+    may_change_models,
+    plan_models,
+)
 from crankchute.core.policies import RoutingView, routing_policies
-from crankchute.core.prefix import PrefixIndex, hash_blocks
+from crankchute.core.prefix_index import PrefixIndex, hash_blocks
 from crankchute.core.retry_budget import RetryBudget
 
 _NAMES = ('engine-0', 'engine-1', 'engine-2', 'engine-3')
--- a/crankchute/core/server_list.py
+++ b/crankchute/core/server_list.py
@@ -6,7 +6,7 @@
 one, whichever instance read them.
 """
 
-from crankchute.core.proof import FreshnessProof
+from crankchute.core.freshness_proof import FreshnessProof
 from crankchute.core.replica import Replica
 
 #: How many deleted entries are kept for lists that still have them; a list that
--- a/crankchute/core/work_feed_test.py
+++ b/crankchute/core/work_feed_test.py
@@ -7,8 +7,8 @@
 from hypothesis.stateful import RuleBasedStateMachine, rule
 
 from crankchute.core.engine_fakes import make_work_item
-from crankchute.core.briefing import PeerMessage, WorkChange
-from crankchute.core.engine_board import Change, EngineWorkTracker
+from crankchute.core.peer_message import PeerMessage, WorkChange
+from crankchute.core.engine_work import Change, EngineWorkTracker
 from crankchute.core.work_feed import WorkFeed, apply_batch
 
 ENGINE = 'engine-1'
--- a/crankchute/entry/borrowing.py
+++ b/crankchute/entry/borrowing.py
@@ -1,6 +1,6 @@
 """Lending and borrowing portions of account limits between instances."""
 
-from crankchute.core.addresses import list_limit_sharers
+from crankchute.core.instance_assignment import list_limit_sharers
 from crankchute.proto import peer_pb2
 
 _CHECK_MS = 500
--- a/crankchute/entry/caller_api.py
+++ b/crankchute/entry/caller_api.py
@@ -4,8 +4,8 @@
 from http import HTTPStatus
 
 from crankchute.adapters.routes import Routes, read_query
-from crankchute.core.addresses import choose_instances
-from crankchute.core.service_flow import ServiceAnswer
+from crankchute.core.instance_assignment import choose_instances
+from crankchute.core.service_router import ServiceAnswer
 from crankchute.entry.answers import make_answer, reply_refusal
 from crankchute.entry.completion_request import (
     bad_request,
--- a/crankchute/entry/crash_gossip_test.py
+++ b/crankchute/entry/crash_gossip_test.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from crankchute.core.crash_ledger import CrashHistory
+from crankchute.core.crash_history import CrashHistory
 from crankchute.core.fakes import ManualClock
 from crankchute.entry.crash_gossip import CrashGossip
 from crankchute.proto import peer_pb2
--- a/crankchute/entry/forward_node.py
+++ b/crankchute/entry/forward_node.py
@@ -15,15 +15,15 @@
 from crankchute.adapters.log import log_change
 from crankchute.adapters.metrics import PrometheusMetrics
 from crankchute.core.choosers import LEAST_BUSY, ChooserParts, choosers
-from crankchute.core.crash_ledger import CrashHistory
-from crankchute.core.engine_board import EngineWorkTracker
+from crankchute.core.crash_history import CrashHistory
+from crankchute.core.engine_work import EngineWorkTracker
 from crankchute.core.engine_chooser import PREDICTED
 from crankchute.core.forward_config import ForwardConfigHolder
-from crankchute.core.forward_desk import Forwarder, ForwarderPorts
+from crankchute.core.forwarder import Forwarder, ForwarderPorts
 from crankchute.core.forward_fleet import ForwardFleet
-from crankchute.core.load_survey import InitialLoadPoll
+from crankchute.core.initial_load_poll import InitialLoadPoll
 from crankchute.core.reservations import ReservationManager
-from crankchute.core.return_hints import RetryHints
+from crankchute.core.retry_hints import RetryHints
 from crankchute.core.server_list import ServerList
 from crankchute.entry.forward_peers import ForwardPeers
 from crankchute.entry.limited_servers import LimitedServers
--- a/crankchute/entry/forward_node_test.py
+++ b/crankchute/entry/forward_node_test.py
@@ -14,7 +14,7 @@
     make_figures,
     make_job,
 )
-from crankchute.core.seen_load import ReportedLoad
+from crankchute.core.reported_load import ReportedLoad
 from crankchute.core.sliding_budget import RetryLimits
 from crankchute.entry.forward_node import (
     ForwardLimits,
--- a/crankchute/entry/forward_peers.py
+++ b/crankchute/entry/forward_peers.py
@@ -5,14 +5,14 @@
 
 from crankchute.adapters.peer_records import read_message, write_message
 from crankchute.adapters.peers_grpc import PeerClient, PeerServer
-from crankchute.core.briefing import PeerMessage, ServerHealth
-from crankchute.core.limit_desk import ServerRateLimits
+from crankchute.core.peer_message import PeerMessage, ServerHealth
+from crankchute.core.server_rate_limits import ServerRateLimits
 from crankchute.core.membership import Member
 from crankchute.core.replica import ChangeSet, Entry
-from crankchute.core.sharing import PeerExchange, PeerExchangeParts
-from crankchute.core.suspicion import LEAST_FAILURES
+from crankchute.core.peer_exchange import PeerExchange, PeerExchangeParts
+from crankchute.core.failure_estimator import LEAST_FAILURES
 from crankchute.entry.peering import Peering
-from crankchute.entry.turn_lending import PermitLending
+from crankchute.entry.permit_lending import PermitLending
 
 _MS_PER_SECOND = 1000
 #: How often seeds are asked until another instance is known, at first: a
--- a/crankchute/entry/node.py
+++ b/crankchute/entry/node.py
@@ -17,10 +17,10 @@
 from crankchute.core.config_holder import ConfigHolder
 from crankchute.core.dispatcher import Dispatcher, DispatcherPorts
 from crankchute.core.fleet import LEAVING, Fleet
-from crankchute.core.keys import Binding
-from crankchute.core.limits import AccountLimits
+from crankchute.core.request_keys import Binding
+from crankchute.core.account_limits import AccountLimits
 from crankchute.core.membership import Member
-from crankchute.core.service_flow import ServiceRouter
+from crankchute.core.service_router import ServiceRouter
 from crankchute.entry.borrowing import PortionExchange
 from crankchute.entry.caller_api import CallerApi
 from crankchute.entry.state_dump import dump_node
--- a/crankchute/entry/turn_lending.py
+++ b/crankchute/entry/permit_lending.py
@@ -1,7 +1,7 @@
 """An instance's part in the lending of turns at servers with limits."""
 
 from crankchute.core.forward_fleet import wants_requests
-from crankchute.core.turn_lending import (
+from crankchute.core.permit_lending import (
     PermitBorrower,
     PermitOffer,
     lend_permit,
--- a/crankchute/entry/turn_lending_test.py
+++ b/crankchute/entry/permit_lending_test.py
@@ -5,8 +5,8 @@
 from crankchute.core.fakes import ManualTimers
 from crankchute.core.forward_fleet import ForwardFleet
 from crankchute.core.forward_fleet_test import POOL, make_listed
-from crankchute.core.limit_desk import ServerRateLimits
-from crankchute.entry.turn_lending import PermitLending
+from crankchute.core.server_rate_limits import ServerRateLimits
+from crankchute.entry.permit_lending import PermitLending
 from crankchute.proto import peer_pb2
 
 _WINDOW_MS = 4000
--- a/crankchute/entry/reading.py
+++ b/crankchute/entry/reading.py
@@ -5,7 +5,7 @@
 """
 
 from crankchute.adapters.log import log_change
-from crankchute.core.addresses import is_platform_reader
+from crankchute.core.instance_assignment import is_platform_reader
 
 _CHECK_MS = 1000
 _FAILING_MS = 2000
--- a/crankchute/entry/service_desk.py
+++ b/crankchute/entry/service_desk.py
@@ -1,8 +1,8 @@
 """Calls of plain services: keys, the once-only ledger, and forwarding."""
 
-from crankchute.core.keys import Claim, KeyLedger, parse_key
+from crankchute.core.request_keys import Claim, KeyLedger, parse_key
 from crankchute.core.outcomes import Outcome, Refusal
-from crankchute.core.service_flow import ServiceAnswer, ServiceCall
+from crankchute.core.service_router import ServiceAnswer, ServiceCall
 from crankchute.entry.completion_request import bad_request, find_service_pool
 from crankchute.errors import BadKeyError
 from crankchute.proto import peer_pb2
--- a/crankchute/platform/engine_reports.py
+++ b/crankchute/platform/engine_reports.py
@@ -4,8 +4,8 @@
 
 from crankchute.adapters.http_client import CallOptions, build_request
 from crankchute.adapters.log import log_change
-from crankchute.core.load_survey import ReportPort
-from crankchute.core.seen_load import ReportedLoad
+from crankchute.core.initial_load_poll import ReportPort
+from crankchute.core.reported_load import ReportedLoad
 from crankchute.platform.wire import REPORT_PATH
 from crankchute.ports.http import WholeResponse
 
--- a/crankchute/platform/forwarding_test.py
+++ b/crankchute/platform/forwarding_test.py
@@ -11,12 +11,12 @@
 from crankchute.adapters.http_client import HttpClient
 from crankchute.adapters.loop import Loop
 from crankchute.core.choosers import ChooserParts
-from crankchute.core.crash_ledger import CrashHistory
-from crankchute.core.engine_board import EngineWorkTracker
+from crankchute.core.crash_history import CrashHistory
+from crankchute.core.engine_work import EngineWorkTracker
 from crankchute.core.engine_chooser import EngineChooser
 from crankchute.core.fleet import Backend, ListedServer
 from crankchute.core.forward_config import PoolConfig
-from crankchute.core.forward_desk import Forwarder, ForwarderPorts
+from crankchute.core.forwarder import Forwarder, ForwarderPorts
 from crankchute.core.forward_fakes import (
     POOL,
     FakeJournal,
@@ -27,8 +27,8 @@
 from crankchute.core.forward_job import PromptSize, RetryMode
 from crankchute.core.outcomes import Outcome
 from crankchute.core.reservations import ReservationManager
-from crankchute.core.limit_desk import ServerRateLimits
-from crankchute.core.return_hints import RetryHints
+from crankchute.core.server_rate_limits import ServerRateLimits
+from crankchute.core.retry_hints import RetryHints
 from crankchute.core.sliding_budget import RetryLimits
 from crankchute.platform.backend_calls import BackendCalls
 from crankchute.platform.engine_orders import EngineOrders
--- a/crankchute/platform/node.py
+++ b/crankchute/platform/node.py
@@ -6,8 +6,8 @@
 from crankchute.adapters.http_intake import IntakeLimits
 from crankchute.adapters.operator_pages import OperatorPages
 from crankchute.core.admission import make_key_admission
-from crankchute.core.proof import choose_max_age_ms
-from crankchute.core.return_hints import RetryHints
+from crankchute.core.freshness_proof import choose_max_age_ms
+from crankchute.core.retry_hints import RetryHints
 from crankchute.core.server_notice import ServerNotices
 from crankchute.core.sliding_budget import RetryLimits
 from crankchute.entry.forward_node import (
--- a/crankchute/platform/requests_test.py
+++ b/crankchute/platform/requests_test.py
@@ -14,7 +14,7 @@
 )
 from crankchute.core.forward_fakes import make_figures
 from crankchute.core.forward_job import RetryMode
-from crankchute.core.return_hints import RetryHints
+from crankchute.core.retry_hints import RetryHints
 from crankchute.core.route_table import PoolShare, Route
 from crankchute.errors import RequestRefused
 from crankchute.platform.requests import RequestReader
--- a/crankchute/standins/engine_server.py
+++ b/crankchute/standins/engine_server.py
@@ -10,7 +10,7 @@
 from crankchute.adapters.http_server import HttpServer
 from crankchute.adapters.routes import Routes, read_json, read_query
 from crankchute.adapters.sse import DONE, EVENT_STREAM, write_event
-from crankchute.core.prefix import hash_blocks
+from crankchute.core.prefix_index import hash_blocks
 from crankchute.ports.http import WholeResponse
 from crankchute.standins.engine_loading import ModelLoader
 from crankchute.standins.engine_model import EngineModel, Work, seed_answer
--- a/tests/crash_ways_test.py
+++ b/tests/crash_ways_test.py
@@ -9,7 +9,7 @@
 import pytest
 
 from bench.crash_ways import World
-from crankchute.core.crash_blame import BY_LEAD
+from crankchute.core.crash_attribution import BY_LEAD
 
 _SEEDS = range(1, 7)
 
