--- a/bench/capacity_core.py
+++ b/bench/capacity_core.py
@@ -12,9 +12,9 @@
 import orjson
 
 from bench.fake_network import build_network, make_member
-from crankchute.core.instance_assignment import choose_instances
-from crankchute.core.config_loader import load_config
+from crankchute.core.account_limits import AccountLimits
 from crankchute.core.config_holder import ConfigHolder
+from crankchute.core.config_loader import load_config
 from crankchute.core.dispatcher import Dispatcher, DispatcherPorts
 from crankchute.core.fakes import (
     FakeEngines,
@@ -26,7 +26,7 @@
     make_load,
 )
 from crankchute.core.fleet import Fleet
-from crankchute.core.account_limits import AccountLimits
+from crankchute.core.instance_assignment import choose_instances
 from crankchute.core.membership import Status
 from crankchute.core.replica import ChangeSet, Entry
 from crankchute.ports.metrics import Metrics
--- a/bench/choice_cost.py
+++ b/bench/choice_cost.py
@@ -15,8 +15,8 @@
 from crankchute.core.fakes import ManualTimers
 from crankchute.core.forward_fakes import (
     make_backends,
-    make_job,
     make_chooser_parts,
+    make_job,
 )
 from crankchute.core.forward_job import PromptSize
 
--- a/bench/crash_ways.py
+++ b/bench/crash_ways.py
@@ -18,8 +18,8 @@
 from crankchute.core.forward_fakes import (
     FakeSink,
     make_backends,
-    make_job,
     make_chooser_parts,
+    make_job,
 )
 from crankchute.core.forward_job import RetryMode
 from crankchute.core.outcomes import Outcome
--- a/bench/limit_ways.py
+++ b/bench/limit_ways.py
@@ -16,15 +16,15 @@
 from crankchute.core.fakes import ManualTimers
 from crankchute.core.forward_fakes import (
     make_backends,
-    make_job,
     make_chooser_parts,
+    make_job,
 )
 from crankchute.core.forward_job import RetryMode
-from crankchute.core.server_rate_limits import ServerRateLimits
 from crankchute.core.limit_shares import WINDOW_MS
+from crankchute.core.permit_lending import PermitBorrower, lend_permit
 from crankchute.core.registry import Registry
 from crankchute.core.retry_hints import RetryHints
-from crankchute.core.permit_lending import PermitBorrower, lend_permit
+from crankchute.core.server_rate_limits import ServerRateLimits
 from crankchute.ports.forwarding import AnswerHead, ForwardPort
 
 #: How instances share a limit, by name: functions of an Instance, called when it
--- a/bench/local_fleet.py
+++ b/bench/local_fleet.py
@@ -3,6 +3,7 @@
 import random
 from functools import partial
 
+from crankchute.core.account_limits import AccountLimits
 from crankchute.core.config_loader import load_config
 from crankchute.core.dispatcher import Dispatcher, DispatcherPorts
 from crankchute.core.fakes import (
@@ -14,7 +15,6 @@
 )
 from crankchute.core.fleet import Fleet, LoadReport
 from crankchute.core.frames import Frame
-from crankchute.core.account_limits import AccountLimits
 from crankchute.core.prefix_index import hash_blocks
 from crankchute.ports.engines import EnginePort, SegmentExport
 from crankchute.ports.metrics import Metrics
--- a/bench/model_desk.py
+++ b/bench/model_desk.py
@@ -2,8 +2,8 @@
 
 from crankchute.core.choosers import LEAST_BUSY, choosers
 from crankchute.core.crash_history import CrashHistory
-from crankchute.core.forwarder import Forwarder, ForwarderPorts
 from crankchute.core.forward_fakes import POOL, FakeJournal, FakeSink
+from crankchute.core.forwarder import Forwarder, ForwarderPorts
 from crankchute.core.sliding_budget import RetryLimits
 from crankchute.ports.metrics import Metrics
 
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -14,19 +14,19 @@
 from bench.pass_engines import FreeMemory, PassEngines
 from crankchute.core.choosers import choosers
 from crankchute.core.crash_history import CrashHistory
-from crankchute.core.engine_work import EngineWorkTracker
 from crankchute.core.engine_chooser import PREDICTED, EngineChooser
+from crankchute.core.engine_work import EngineWorkTracker
 from crankchute.core.fakes import ManualTimers
-from crankchute.core.forwarder import Forwarder, ForwarderPorts
 from crankchute.core.forward_fakes import (
     POOL,
     FakeJournal,
     make_backends,
+    make_chooser_parts,
     make_figures,
     make_job,
-    make_chooser_parts,
 )
 from crankchute.core.forward_job import PromptSize, RetryMode
+from crankchute.core.forwarder import Forwarder, ForwarderPorts
 from crankchute.core.outcomes import Outcome
 from crankchute.core.reservations import ReservationManager
 from crankchute.core.retry_hints import RetryHints
--- a/bench/rest_ways.py
+++ b/bench/rest_ways.py
@@ -14,8 +14,8 @@
 from crankchute.core.fakes import ManualTimers
 from crankchute.core.forward_fakes import (
     make_backends,
-    make_job,
     make_chooser_parts,
+    make_job,
 )
 from crankchute.core.forward_job import RetryMode
 from crankchute.core.outcomes import Outcome
--- a/crankchute/adapters/http_intake.py
+++ b/crankchute/adapters/http_intake.py
@@ -22,10 +22,10 @@
     """The bounds on one incoming request."""
 
     __slots__ = (
-        'max_body_bytes',
         'body_rate',
-        'max_header_bytes',
         'header_timeout_ms',
+        'max_body_bytes',
+        'max_header_bytes',
     )
 
     def __init__(
--- a/crankchute/adapters/peer_records.py
+++ b/crankchute/adapters/peer_records.py
@@ -1,17 +1,17 @@
 """Conversions between the core's objects and the messages between peers."""
 
 from crankchute.adapters.crash_records import read_crashes, write_crashes
+from crankchute.core.advertised_limits import AdvertisedLimit
+from crankchute.core.engine_work import Change, WorkItem
+from crankchute.core.failure_estimator import OutcomeCounts
+from crankchute.core.membership import Member
 from crankchute.core.peer_message import (
     PeerMessage,
     ServerHealth,
     WorkBatch,
     WorkChange,
 )
-from crankchute.core.engine_work import Change, WorkItem
-from crankchute.core.membership import Member
 from crankchute.core.replica import ChangeSet, Entry
-from crankchute.core.advertised_limits import AdvertisedLimit
-from crankchute.core.failure_estimator import OutcomeCounts
 from crankchute.proto import peer_pb2
 
 _MEMBER_FIELDS = Member.__slots__
--- a/crankchute/adapters/peer_records_test.py
+++ b/crankchute/adapters/peer_records_test.py
@@ -3,22 +3,22 @@
 import pytest
 
 from crankchute.adapters.peer_records import (
-    read_message,
     read_member,
-    write_message,
+    read_message,
     write_member,
+    write_message,
 )
-from crankchute.core.peer_message import PeerMessage, WorkBatch, WorkChange
+from crankchute.core.advertised_limits import AdvertisedLimit
 from crankchute.core.crash_report import (
     ClearedRequest,
     Crash,
     CrashReport,
     QuarantinedRequest,
 )
-from crankchute.core.engine_work import Change, EngineWorkTracker
 from crankchute.core.engine_fakes import make_work_item
+from crankchute.core.engine_work import Change, EngineWorkTracker
 from crankchute.core.membership import Member
-from crankchute.core.advertised_limits import AdvertisedLimit
+from crankchute.core.peer_message import PeerMessage, WorkBatch, WorkChange
 from crankchute.core.work_feed import apply_batch
 from crankchute.proto import peer_pb2
 
--- a/crankchute/core/account_limits_test.py
+++ b/crankchute/core/account_limits_test.py
@@ -4,8 +4,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from crankchute.core.config import Account
 from crankchute.core.account_limits import AccountUsage, Portion
+from crankchute.core.config import Account
 
 _WIDTH = 3
 _TOLERANCE = 1e-9
--- a/crankchute/core/advertised_limits_test.py
+++ b/crankchute/core/advertised_limits_test.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from crankchute.core.fakes import ManualTimers
 from crankchute.core.advertised_limits import AdvertisedLimit, AdvertisedLimits
+from crankchute.core.fakes import ManualTimers
 
 SERVER = 'i-1'
 
--- a/crankchute/core/candidate_filter_test.py
+++ b/crankchute/core/candidate_filter_test.py
@@ -4,14 +4,14 @@
 
 import pytest
 
+from crankchute.core.candidate_filter import CandidateFilter
 from crankchute.core.engine_chooser import EngineChooser
 from crankchute.core.engine_fakes import make_work_item
-from crankchute.core.candidate_filter import CandidateFilter
 from crankchute.core.fakes import ManualTimers
 from crankchute.core.forward_fakes import (
     make_backends,
-    make_job,
     make_chooser_parts,
+    make_job,
 )
 from crankchute.core.forward_job import PromptSize
 
--- a/crankchute/core/choosers.py
+++ b/crankchute/core/choosers.py
@@ -49,18 +49,18 @@
     """
 
     __slots__ = (
-        'work_tracker',
+        'announce_work',
+        'create_ticket_id',
         'data_centre',
-        'last_peer_message_age_ms',
         'hints',
         'is_connected',
+        'last_peer_message_age_ms',
         'members',
-        'create_ticket_id',
-        'announce_work',
+        'permits',
         'pool',
         'random',
         'timers',
-        'permits',
+        'work_tracker',
     )
 
     def __init__(self, **fields):
--- a/crankchute/core/choosers_test.py
+++ b/crankchute/core/choosers_test.py
@@ -9,8 +9,8 @@
 from crankchute.core.fakes import ManualTimers
 from crankchute.core.forward_fakes import (
     make_backends,
-    make_job,
     make_chooser_parts,
+    make_job,
 )
 from crankchute.core.outcomes import Outcome
 
--- a/crankchute/core/completion_machine_test.py
+++ b/crankchute/core/completion_machine_test.py
@@ -15,6 +15,7 @@
     rule,
 )
 
+from crankchute.core.account_limits import AccountLimits
 from crankchute.core.config_loader import load_config
 from crankchute.core.dispatcher import Dispatcher, DispatcherPorts
 from crankchute.core.fakes import (
@@ -27,7 +28,6 @@
     make_load,
 )
 from crankchute.core.fleet import Fleet
-from crankchute.core.account_limits import AccountLimits
 from crankchute.errors import BackendError
 from crankchute.ports.metrics import Metrics
 
--- a/crankchute/core/config_test.py
+++ b/crankchute/core/config_test.py
@@ -7,8 +7,8 @@
 import pytest
 
 from crankchute.commands.check import read_folder
-from crankchute.core.config_loader import load_config
 from crankchute.core.config_holder import ConfigHolder
+from crankchute.core.config_loader import load_config
 from crankchute.core.replica import ChangeSet, Entry
 from crankchute.errors import ConfigError
 
--- a/crankchute/core/dispatcher.py
+++ b/crankchute/core/dispatcher.py
@@ -4,12 +4,12 @@
     list_candidates,
     list_group_candidates,
 )
-from crankchute.core.crash_history import CrashHistory
-from crankchute.core.fair_queue import LaneQueue
 from crankchute.core.completion_context import (
     MIN_RETRY_AFTER_MS,
     CompletionContext,
 )
+from crankchute.core.crash_history import CrashHistory
+from crankchute.core.fair_queue import LaneQueue
 from crankchute.core.group_flow import GroupFlow
 from crankchute.core.outcomes import Outcome, refuse_not_run
 from crankchute.core.policies import estimate_start_ms
--- a/crankchute/core/dispatcher_test.py
+++ b/crankchute/core/dispatcher_test.py
@@ -8,6 +8,7 @@
 
 import pytest
 
+from crankchute.core.account_limits import AccountLimits
 from crankchute.core.config_loader import load_config
 from crankchute.core.dispatcher import Dispatcher, DispatcherPorts
 from crankchute.core.fakes import (
@@ -20,7 +21,6 @@
     make_load,
 )
 from crankchute.core.fleet import Fleet
-from crankchute.core.account_limits import AccountLimits
 from crankchute.core.outcomes import Outcome
 from crankchute.errors import BackendError
 from crankchute.ports.metrics import Metrics
--- a/crankchute/core/engine_chooser.py
+++ b/crankchute/core/engine_chooser.py
@@ -8,8 +8,8 @@
 the longest prompts is reserved at several engines.
 """
 
+from crankchute.core.candidate_filter import CandidateFilter
 from crankchute.core.choosers import Chooser, choosers
-from crankchute.core.engine_work import Change, WorkItem
 from crankchute.core.engine_model import (
     estimate_decode_ms,
     estimate_pass_ms,
@@ -25,11 +25,11 @@
     estimate_late_probability,
     estimate_worth,
 )
-from crankchute.core.candidate_filter import CandidateFilter
+from crankchute.core.engine_work import Change, WorkItem
 from crankchute.core.forward_job import (
+    Placement,
     PlacementEstimate,
     PrefillHelper,
-    Placement,
 )
 from crankchute.core.length_demand import LONG_PROMPT_FACTOR
 from crankchute.core.prompt_admission import (
--- a/crankchute/core/engine_work.py
+++ b/crankchute/core/engine_work.py
@@ -59,9 +59,9 @@
         'engine',
         'first_event_at_ms',
         'gap_ms',
-        'is_prioritized',
-        'is_delayed',
         'is_decoding',
+        'is_delayed',
+        'is_prioritized',
         'key',
         'memory',
         'origin',
@@ -111,10 +111,10 @@
         '_slowness',
         '_slowness_at_ms',
         '_unreported',
+        'decode_count',
         'memory',
         'prefill_until_ms',
         'works',
-        'decode_count',
     )
 
     def __init__(self):
--- a/crankchute/core/failure_estimator_test.py
+++ b/crankchute/core/failure_estimator_test.py
@@ -4,15 +4,15 @@
 
 from crankchute.core.choosers import LeastBusyChooser
 from crankchute.core.engine_chooser import EngineChooser
+from crankchute.core.failure_estimator import FailureEstimator, OutcomeCounts
 from crankchute.core.fakes import ManualTimers
 from crankchute.core.forward_fakes import (
     ForwardHarness,
     make_backends,
-    make_job,
     make_chooser_parts,
+    make_job,
 )
 from crankchute.core.forward_job import PromptSize
-from crankchute.core.failure_estimator import OutcomeCounts, FailureEstimator
 from crankchute.errors import BackendError
 from crankchute.ports.forwarding import AnswerHead
 
--- a/crankchute/core/fleet.py
+++ b/crankchute/core/fleet.py
@@ -7,10 +7,10 @@
 from collections import Counter
 
 from crankchute.core.breaker import Breaker
+from crankchute.core.failure_estimator import FailureEstimator
 from crankchute.core.labels import match_labels
 from crankchute.core.ownership import EngineContents
 from crankchute.core.prefix_index import PrefixIndex
-from crankchute.core.failure_estimator import FailureEstimator
 
 #: The greatest age of an engine's load figures when its report arrives.
 _REPORT_LAG_MS = 200
@@ -192,10 +192,10 @@
         'in_flight',
         'listed',
         'load',
+        'long_prompt_count',
+        'paused_until_ms',
         'pending_tokens',
         'prefix',
-        'paused_until_ms',
-        'long_prompt_count',
         'suspicion',
     )
 
--- a/crankchute/core/forward_config.py
+++ b/crankchute/core/forward_config.py
@@ -42,10 +42,10 @@
     """Size and time limits for client connections and their requests."""
 
     __slots__ = (
-        'max_body_bytes',
-        'max_header_bytes',
         'header_timeout_ms',
         'idle_timeout_ms',
+        'max_body_bytes',
+        'max_header_bytes',
     )
 
     def __init__(
@@ -103,7 +103,7 @@
       request_limits: A RequestLimits, or None if the document sets no limits.
     """
 
-    __slots__ = ('request_limits', 'keys', 'pools', 'routes', 'version')
+    __slots__ = ('keys', 'pools', 'request_limits', 'routes', 'version')
 
     def __init__(
         self, version, routes, pools, *, keys=None, request_limits=None
--- a/crankchute/core/forward_fakes.py
+++ b/crankchute/core/forward_fakes.py
@@ -314,7 +314,7 @@
     """
 
     def __init__(self, servers=3, slack=100):
-        """Create the desk and its fakes.
+        """Create the Forwarder and its fakes.
 
         Args:
           servers: The number of backend servers.
--- a/crankchute/core/forward_fleet.py
+++ b/crankchute/core/forward_fleet.py
@@ -5,7 +5,7 @@
 Entries expire while the store is unavailable, mostly with their servers still
 running, so entries lost at such a time are kept for a grace period.
 
-A server that asks for no requests for a while (see server_rests) is avoided
+A server that asks for no requests for a while (see server_pauses) is avoided
 only by the instance that it asked.
 
 A server may restart under the same id, and has then lost its state.  So state is
--- a/crankchute/core/forward_flow.py
+++ b/crankchute/core/forward_flow.py
@@ -38,10 +38,10 @@
         '_timer',
         'attempt',
         'attempts',
-        'last_event_id',
         'ended',
-        'job',
         'forwarded_events',
+        'job',
+        'last_event_id',
     )
 
     def __init__(self, job, context, sink):
--- a/crankchute/core/forwarder.py
+++ b/crankchute/core/forwarder.py
@@ -13,8 +13,8 @@
 from crankchute.core.forward_flow import ForwardFlow
 from crankchute.core.forward_job import Placement
 from crankchute.core.outcomes import Outcome, refuse_not_run
-from crankchute.core.sliding_budget import SlidingRetryBudget
 from crankchute.core.permit_lending import NoLending
+from crankchute.core.sliding_budget import SlidingRetryBudget
 from crankchute.ports.forwarding import MOVED
 
 
@@ -282,8 +282,8 @@
     """The dependencies of a Forwarder."""
 
     __slots__ = (
-        'find_chooser',
         'crashes',
+        'find_chooser',
         'forward',
         'hints',
         'journal',
--- a/crankchute/core/group_flow.py
+++ b/crankchute/core/group_flow.py
@@ -102,7 +102,7 @@
             for index, segment in enumerate(segments)
         ]
         self._group_number += 1
-        self._change_serving_long(1)
+        self._change_long_prompt_count(1)
         self._reserve_next()
         return True
 
@@ -128,7 +128,7 @@
     def _is_lost(self, member):
         return not self._context.is_usable(member.backend, self.job)
 
-    def _change_serving_long(self, change):
+    def _change_long_prompt_count(self, change):
         for member in self._members:
             member.backend.long_prompt_count += change
 
@@ -250,7 +250,7 @@
 
     def _release_all(self):
         members = self._members
-        self._change_serving_long(-1)
+        self._change_long_prompt_count(-1)
         self._members = []
         for member in members:
             self._release(member.backend, self._group)
--- a/crankchute/core/group_flow_test.py
+++ b/crankchute/core/group_flow_test.py
@@ -4,6 +4,7 @@
 
 import pytest
 
+from crankchute.core.account_limits import AccountLimits
 from crankchute.core.config_loader import load_config
 from crankchute.core.dispatcher import Dispatcher, DispatcherPorts
 from crankchute.core.fakes import (
@@ -17,7 +18,6 @@
 )
 from crankchute.core.fleet import Fleet
 from crankchute.core.group_flow import split_prompt
-from crankchute.core.account_limits import AccountLimits
 from crankchute.ports.metrics import Metrics
 
 
--- a/crankchute/core/initial_load_poll.py
+++ b/crankchute/core/initial_load_poll.py
@@ -38,7 +38,7 @@
     """Polls the servers once in the lifetime of a process."""
 
     def __init__(self, port, random, record):
-        """Create the survey.
+        """Create the poll.
 
         Args:
           port: A ReportPort.
--- a/crankchute/core/loss_report.py
+++ b/crankchute/core/loss_report.py
@@ -22,7 +22,7 @@
       tokens: The total length of their prompts, in tokens.
     """
 
-    __slots__ = ('count_after_start', 'cause', 'count', 'tokens')
+    __slots__ = ('cause', 'count', 'count_after_start', 'tokens')
 
     def __init__(self, cause):
         """Create a summary without requests.
--- a/crankchute/core/loss_report_test.py
+++ b/crankchute/core/loss_report_test.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from crankchute.core.request_history import LogLine
 from crankchute.core.loss_report import compare_predictions, summarize_losses
+from crankchute.core.request_history import LogLine
 from crankchute.core.request_traces import gather_traces
 
 
--- a/crankchute/core/outcomes.py
+++ b/crankchute/core/outcomes.py
@@ -28,7 +28,7 @@
         another entry instance, a bool.
     """
 
-    __slots__ = ('code', 'outcome', 'was_dispatched', 'retry_after_ms', 'text')
+    __slots__ = ('code', 'outcome', 'retry_after_ms', 'text', 'was_dispatched')
 
     def __init__(self, outcome, code, text, **details):
         """Create a refusal.
--- a/crankchute/core/peer_exchange.py
+++ b/crankchute/core/peer_exchange.py
@@ -300,18 +300,18 @@
     """
 
     __slots__ = (
-        'work_tracker',
         'crashes',
         'get',
         'is_serving',
         'make_message',
         'members',
+        'on_message',
         'proof_age_ms',
         'random',
         'send',
-        'on_message',
         'timers',
         'version',
+        'work_tracker',
     )
 
     def __init__(self, **fields):
--- a/crankchute/core/peer_message.py
+++ b/crankchute/core/peer_message.py
@@ -105,17 +105,17 @@
         'crashes',
         'digest',
         'draining_servers',
-        'removed_servers',
-        'server_health',
         'instance',
         'is_serving',
-        'needs_snapshot',
         'limits',
+        'needs_snapshot',
         'proof_age_ms',
+        'removed_servers',
+        'server_health',
         'servers_age_ms',
         'servers_revision',
-        'version',
         'subscribes_to_work',
+        'version',
     )
 
     def __init__(self, **fields):
--- a/crankchute/core/permit_lending_test.py
+++ b/crankchute/core/permit_lending_test.py
@@ -5,12 +5,12 @@
 import pytest
 
 from crankchute.core.fakes import ManualTimers
-from crankchute.core.server_rate_limits import ServerRateLimits
 from crankchute.core.permit_lending import (
     PermitBorrower,
     PermitOffer,
     lend_permit,
 )
+from crankchute.core.server_rate_limits import ServerRateLimits
 
 _WINDOW_MS = 4000
 _ACTIVE = ('entry-0', 'entry-1', 'entry-2')
--- a/crankchute/core/reservations.py
+++ b/crankchute/core/reservations.py
@@ -167,7 +167,7 @@
     """
 
     def __init__(self, port, timers, metrics, journal, owner):
-        """Create the desk.
+        """Create the manager.
 
         Args:
           port: A ReservationPort.
--- a/crankchute/core/routing_test.py
+++ b/crankchute/core/routing_test.py
@@ -4,11 +4,6 @@
 
 import pytest
 
-from crankchute.core.instance_assignment import (
-    choose_instances,
-    choose_owner,
-    is_platform_reader,
-)
 from crankchute.core.breaker import Breaker
 from crankchute.core.candidates import list_candidates
 from crankchute.core.config import Pool
@@ -22,13 +17,18 @@
 )
 from crankchute.core.fleet import Backend, Fleet
 from crankchute.core.hashing import rank_by_hash
+from crankchute.core.instance_assignment import (
+    choose_instances,
+    choose_owner,
+    is_platform_reader,
+)
 from crankchute.core.membership import Member, Status
-from crankchute.core.ownership import EngineContents, Ownership
 from crankchute.core.model_assignment import (
     PoolEngine,
     may_change_models,
     plan_models,
 )
+from crankchute.core.ownership import EngineContents, Ownership
 from crankchute.core.policies import RoutingView, routing_policies
 from crankchute.core.prefix_index import PrefixIndex, hash_blocks
 from crankchute.core.retry_budget import RetryBudget
--- a/crankchute/core/server_pauses_test.py
+++ b/crankchute/core/server_pauses_test.py
@@ -5,8 +5,8 @@
 from crankchute.core.fakes import ManualTimers
 from crankchute.core.forward_fleet import ForwardFleet
 from crankchute.core.forward_fleet_test import POOL, make_listed
-from crankchute.core.server_rate_limits import ServerRateLimits
 from crankchute.core.server_notice import ServerNotice, ServerNotices
+from crankchute.core.server_rate_limits import ServerRateLimits
 
 
 class NullJournal:
--- a/crankchute/core/server_rate_limits.py
+++ b/crankchute/core/server_rate_limits.py
@@ -1,9 +1,9 @@
 """Rate limits that backend servers advertise, as one instance applies them."""
 
+from crankchute.core.advertised_limits import AdvertisedLimits
+from crankchute.core.limit_permits import LimitPermits
 from crankchute.core.limit_probes import LimitProber
 from crankchute.core.limit_shares import LimitShares, ParticipantTracker
-from crankchute.core.limit_permits import LimitPermits
-from crankchute.core.advertised_limits import AdvertisedLimits
 
 _PARTICIPANT_POLL_MS = 250
 
--- a/crankchute/core/service_router.py
+++ b/crankchute/core/service_router.py
@@ -7,11 +7,11 @@
 
 from crankchute.core.candidates import list_members
 from crankchute.core.choosers import LEAST_BUSY, ChooserParts, choosers
-from crankchute.core.forwarder import Forwarder, ForwarderPorts
 from crankchute.core.forward_job import ForwardJob, RetryMode
+from crankchute.core.forwarder import Forwarder, ForwarderPorts
 from crankchute.core.hashing import make_fingerprint
-from crankchute.core.server_rate_limits import ServerRateLimits
 from crankchute.core.retry_hints import RetryHints
+from crankchute.core.server_rate_limits import ServerRateLimits
 from crankchute.core.sliding_budget import RetryLimits
 from crankchute.ports.forwarding import AnswerSink
 
--- a/crankchute/core/work_feed.py
+++ b/crankchute/core/work_feed.py
@@ -7,8 +7,8 @@
 of taking them all for idle.
 """
 
-from crankchute.core.peer_message import WorkBatch, WorkChange
 from crankchute.core.engine_work import Change
+from crankchute.core.peer_message import WorkBatch, WorkChange
 
 #: Batches may arrive out of order.  A gap that lasts longer than this, which
 #: exceeds the latency between data centres, counts as a loss.
--- a/crankchute/entry/forward_node.py
+++ b/crankchute/entry/forward_node.py
@@ -16,11 +16,11 @@
 from crankchute.adapters.metrics import PrometheusMetrics
 from crankchute.core.choosers import LEAST_BUSY, ChooserParts, choosers
 from crankchute.core.crash_history import CrashHistory
-from crankchute.core.engine_work import EngineWorkTracker
 from crankchute.core.engine_chooser import PREDICTED
+from crankchute.core.engine_work import EngineWorkTracker
 from crankchute.core.forward_config import ForwardConfigHolder
-from crankchute.core.forwarder import Forwarder, ForwarderPorts
 from crankchute.core.forward_fleet import ForwardFleet
+from crankchute.core.forwarder import Forwarder, ForwarderPorts
 from crankchute.core.initial_load_poll import InitialLoadPoll
 from crankchute.core.reservations import ReservationManager
 from crankchute.core.retry_hints import RetryHints
--- a/crankchute/entry/forward_peers.py
+++ b/crankchute/entry/forward_peers.py
@@ -5,12 +5,12 @@
 
 from crankchute.adapters.peer_records import read_message, write_message
 from crankchute.adapters.peers_grpc import PeerClient, PeerServer
-from crankchute.core.peer_message import PeerMessage, ServerHealth
-from crankchute.core.server_rate_limits import ServerRateLimits
+from crankchute.core.failure_estimator import LEAST_FAILURES
 from crankchute.core.membership import Member
-from crankchute.core.replica import ChangeSet, Entry
 from crankchute.core.peer_exchange import PeerExchange, PeerExchangeParts
-from crankchute.core.failure_estimator import LEAST_FAILURES
+from crankchute.core.peer_message import PeerMessage, ServerHealth
+from crankchute.core.replica import ChangeSet, Entry
+from crankchute.core.server_rate_limits import ServerRateLimits
 from crankchute.entry.peering import Peering
 from crankchute.entry.permit_lending import PermitLending
 
--- a/crankchute/entry/owning.py
+++ b/crankchute/entry/owning.py
@@ -6,14 +6,14 @@
 
 from crankchute.adapters.http_client import build_request
 from crankchute.adapters.log import log_change
-from crankchute.core.instance_assignment import choose_owner
 from crankchute.core.candidates import MAX_LOAD_AGE_MS, list_members
-from crankchute.core.ownership import EngineContents, Order, Ownership
+from crankchute.core.instance_assignment import choose_owner
 from crankchute.core.model_assignment import (
     PoolEngine,
     may_change_models,
     plan_models,
 )
+from crankchute.core.ownership import EngineContents, Order, Ownership
 from crankchute.ports.http import WholeResponse
 
 _PASS_MS = 1000
--- a/crankchute/entry/service_desk.py
+++ b/crankchute/entry/service_desk.py
@@ -1,7 +1,7 @@
 """Calls of plain services: keys, the once-only ledger, and forwarding."""
 
-from crankchute.core.request_keys import Claim, KeyLedger, parse_key
 from crankchute.core.outcomes import Outcome, Refusal
+from crankchute.core.request_keys import Claim, KeyLedger, parse_key
 from crankchute.core.service_router import ServiceAnswer, ServiceCall
 from crankchute.entry.completion_request import bad_request, find_service_pool
 from crankchute.errors import BadKeyError
--- a/crankchute/platform/backend_calls_test.py
+++ b/crankchute/platform/backend_calls_test.py
@@ -15,8 +15,8 @@
 from crankchute.core.forward_fakes import make_job
 from crankchute.core.forward_job import (
     AttemptOrder,
-    PrefillHelper,
     Placement,
+    PrefillHelper,
     RetryMode,
 )
 from crankchute.platform.backend_calls import BackendCalls
--- a/crankchute/platform/documents.py
+++ b/crankchute/platform/documents.py
@@ -5,9 +5,9 @@
 from crankchute.core.engine_model import EngineFigures
 from crankchute.core.forward_config import (
     ForwardConfig,
-    RequestLimits,
     KeyOwner,
     PoolConfig,
+    RequestLimits,
 )
 from crankchute.core.forward_job import RetryMode
 from crankchute.core.route_table import PoolShare, Route
