--- a/crankchute/platform/named_limits.py
+++ b/crankchute/platform/named_limits.py
@@ -1,26 +1,26 @@
-"""The limits that servers name, as their answers write them."""
+"""Parses the request rate limits that servers send in response headers."""
 
 import re
 
-#: Digits, and a fraction; a sign, an exponent or a unit is no limit.
+#: Unsigned decimal numbers, without exponent or unit.
 _DECIMAL = re.compile(r'\s*(\d+(?:\.\d*)?|\.\d+)\s*', re.ASCII)
-#: What is over it limits nothing: requests a second.
-_LARGEST = 1_000_000
+#: Requests per second; higher limits are lowered to this.
+_MAX_LIMIT = 1_000_000
 
 
-def read_limits(texts):
-    """Return the limits that an answer names.
+def parse_limits(texts):
+    """Return the limits in a response's limit headers.
 
     Args:
-      texts: The texts of all its limit headers, strings; each may hold several,
-        separated by commas.
+      texts: The values of all limit headers, strings; each may hold several
+        limits, separated by commas.
     Returns:
-      A list with a float for each, requests a second up to a million, and None
-      for each that is no decimal number.
+      A list with a float for each limit, in requests per second, and None for
+      each that is not a decimal number.
     """
-    return [_read_limit(part) for text in texts for part in text.split(',')]
+    return [_parse_limit(part) for text in texts for part in text.split(',')]
 
 
-def _read_limit(text):
-    found = _DECIMAL.fullmatch(text)
-    return None if found is None else min(float(found.group(1)), _LARGEST)
+def _parse_limit(text):
+    match = _DECIMAL.fullmatch(text)
+    return None if match is None else min(float(match.group(1)), _MAX_LIMIT)
--- a/crankchute/platform/named_limits_test.py
+++ b/crankchute/platform/named_limits_test.py
@@ -1,11 +1,11 @@
-"""Tests of the limits that answers name, as they write them."""
+"""Tests of parsing limit headers."""
 
 import pytest
 
 from crankchute.core.server_notice import ServerNotice
-from crankchute.platform.named_limits import read_limits
+from crankchute.platform.named_limits import parse_limits
 
-_LARGEST = 1_000_000
+_MAX_LIMIT = 1_000_000
 
 
 @pytest.mark.parametrize(
@@ -18,7 +18,7 @@
         (['.25'], 0.25),
         (['3.'], 3),
         (['0.001'], 0.001),
-        (['9' * 400], _LARGEST),
+        (['9' * 400], _MAX_LIMIT),
         (['4', '2'], 2),
         (['4, 2'], 2),
         (['soon', '3'], 3),
@@ -33,13 +33,13 @@
         (['\u0663'], None),
     ],
 )
-def test_limits_are_decimal_numbers_and_the_least_counts(texts, limit):
-    notice = ServerNotice(limits=read_limits(texts))
+def test_lowest_valid_limit_is_used(texts, limit):
+    notice = ServerNotice(limits=parse_limits(texts))
     assert notice.names_limit
     assert notice.limit == limit
 
 
-def test_answer_without_the_header_names_no_limit():
-    notice = ServerNotice(limits=read_limits([]))
+def test_response_without_the_header_has_no_limit():
+    notice = ServerNotice(limits=parse_limits([]))
     assert not notice.names_limit
     assert notice.limit is None
--- a/crankchute/platform/server_calls.py
+++ b/crankchute/platform/server_calls.py
@@ -10,7 +10,7 @@
 
 from crankchute.adapters.retry_after import read_retry_after_ms
 from crankchute.core.server_notice import ServerNotice
-from crankchute.platform.named_limits import read_limits
+from crankchute.platform.named_limits import parse_limits
 from crankchute.platform.wire import LEAVING, LIMIT, RETRY_AFTER
 from crankchute.ports.http import ResponseSink
 
@@ -126,5 +126,5 @@
     return ServerNotice(
         is_leaving=is_leaving,
         rest_ms=rest_ms,
-        limits=read_limits(limits),
+        limits=parse_limits(limits),
     )
