--- a/crankchute/platform/backend_calls.py
+++ b/crankchute/platform/backend_calls.py
@@ -7,7 +7,7 @@
 from crankchute.core.forward_job import Repeat
 from crankchute.errors import BackendError
 from crankchute.platform.engine_reports import read_told_load
-from crankchute.platform.server_calls import read_notice
+from crankchute.platform.server_calls import parse_notice
 from crankchute.platform.wire import (
     ACCOUNT,
     DEADLINE_MS,
@@ -212,7 +212,7 @@
         return Rejection(
             'full' if full else 'rejected',
             headers.get(FAULTY_SERVER),
-            read_notice(status, headers).rest_ms,
+            parse_notice(status, headers).rest_ms,
         )
     return None
 
--- a/crankchute/platform/server_calls.py
+++ b/crankchute/platform/server_calls.py
@@ -1,9 +1,9 @@
-"""Calls of the platform's backend servers, and what each answer says of them.
+"""HTTP calls to backend servers, with the state that responses report.
 
-A server may say in any answer (to a request, an order, or a question for its
-report) that it leaves or takes only so many requests, and with a 503 that it
-wants rest.  All calls of servers
-go through here, so that no kind of answer is read without that.
+The headers of any response (to a request, an order or a report query) may say
+that the server is shutting down or limit its request rate, and a 503 may ask
+for a pause with Retry-After.  All calls to backend servers go through
+ServerCalls, so that these headers are read in every response.
 """
 
 from http import HTTPStatus
@@ -14,11 +14,11 @@
 from crankchute.platform.wire import LEAVING, LIMIT, RETRY_AFTER
 from crankchute.ports.http import ResponseSink
 
-_YES = '1'
+_TRUE_FLAG = '1'
 
 
-class _Ignorant:
-    """Takes nothing, where nobody listens."""
+class _NullListener:
+    """Ignores all notices; used until a listener is set."""
 
     def note_sent(self, backend):
         """See ServerNotices."""
@@ -31,7 +31,7 @@
     """Sends requests to backend servers over HTTP.
 
     Attributes:
-      listener: The ServerNotices, which take what is sent and what answers say.
+      listener: The ServerNotices that are told of each call and response.
     """
 
     def __init__(self, client, clock):
@@ -43,33 +43,33 @@
         """
         self._client = client
         self._clock = clock
-        self.listener = _Ignorant()
+        self.listener = _NullListener()
 
-    def send(self, backend, payload, sink, options):
+    def send(self, backend, request, sink, options):
         """Start a call; see HttpClient.send.
 
         Args:
-          backend: The Backend that is called.
-          payload: The bytes of the whole request.
+          backend: The Backend to call.
+          request: The bytes of the whole request.
           sink: A ResponseSink.
           options: CallOptions.
         Returns:
           An HttpCall.
         """
-        watched = _NoticingSink(sink, backend, self.listener)
-        watched.sent_ms = self._clock.now_ms()
+        notice_sink = _NoticeSink(sink, backend, self.listener)
+        notice_sink.sent_ms = self._clock.now_ms()
         self.listener.note_sent(backend)
-        watched.call = self._client.send(
+        notice_sink.call = self._client.send(
             backend.listed.address,
-            payload,
-            watched,
+            request,
+            notice_sink,
             options,
         )
-        return watched.call
+        return notice_sink.call
 
 
-class _NoticingSink(ResponseSink):
-    """Hands a response on, and what its head says of the server."""
+class _NoticeSink(ResponseSink):
+    """Passes a response on and reports the server's notice to a listener."""
 
     __slots__ = ('_backend', '_listener', '_sink', 'call', 'sent_ms')
 
@@ -81,8 +81,12 @@
         self.sent_ms = None
 
     def on_head(self, status, headers):
-        """See ResponseSink; who chooses another server knows it by then."""
-        notice = read_notice(status, headers, self._list_limits(headers))
+        """See ResponseSink.
+
+        The listener is told first, so that a retry after a rejection already
+        takes the notice into account.
+        """
+        notice = parse_notice(status, headers, self._find_limit_values(headers))
         self._listener.take(self._backend, notice, self.sent_ms)
         self._sink.on_head(status, headers)
 
@@ -98,8 +102,8 @@
         """See ResponseSink."""
         self._sink.on_error(exc)
 
-    def _list_limits(self, headers):
-        """Return the texts of all limit headers; the map keeps the last."""
+    def _find_limit_values(self, headers):
+        """Return the values of all limit headers; the map has only the last."""
         if LIMIT not in headers:
             return ()
         return [
@@ -109,17 +113,17 @@
         ]
 
 
-def read_notice(status, headers, limits=()):
-    """Return what a head says of the server that sent it.
+def parse_notice(status, headers, limits=()):
+    """Return the notice in the head of a backend server's response.
 
     Args:
       status: The HTTP status, an int.
-      headers: A map of names in lower case to strings.
-      limits: The texts of all its limit headers, strings.
+      headers: A map of lower-case names to strings.
+      limits: The values of all limit headers, strings.
     Returns:
       A ServerNotice.
     """
-    is_leaving = headers.get(LEAVING, '').strip() == _YES
+    is_leaving = headers.get(LEAVING, '').strip() == _TRUE_FLAG
     rest_ms = 0
     if status == HTTPStatus.SERVICE_UNAVAILABLE:
         rest_ms = read_retry_after_ms(headers.get(RETRY_AFTER))
--- a/crankchute/platform/server_calls_test.py
+++ b/crankchute/platform/server_calls_test.py
@@ -1,21 +1,21 @@
-"""Tests of what answers say of the servers that send them."""
+"""Tests of the notices that servers send in response headers."""
 
 import pytest
 
 from crankchute.core.fakes import ManualClock
-from crankchute.platform.server_calls import ServerCalls, read_notice
+from crankchute.platform.server_calls import ServerCalls, parse_notice
 from crankchute.ports.http import WholeResponse
 
 
 def describe(notice):
-    """Return what a notice says, a pair, or None if it says nothing."""
+    """Return is_leaving and rest_ms, or None for an empty notice."""
     if not notice.says_anything:
         return None
     return notice.is_leaving, notice.rest_ms
 
 
 @pytest.mark.parametrize(
-    ('status', 'headers', 'said'),
+    ('status', 'headers', 'expected'),
     [
         (200, {}, None),
         (200, {'server-leaving': '1'}, (True, 0)),
@@ -30,27 +30,27 @@
         (503, {'retry-after': '0'}, None),
         (503, {'retry-after': 'soon'}, None),
         (503, {'retry-after': '3', 'server-leaving': '1'}, (True, 3000)),
-        # Only with a 503 does it mean the server itself.
+        # Retry-After applies to the server only with a 503.
         (429, {'retry-after': '3'}, None),
         (301, {'retry-after': '3'}, None),
     ],
 )
-def test_notice_is_read_from_a_head(status, headers, said):
-    assert describe(read_notice(status, headers)) == said
+def test_notice_is_parsed_from_response_head(status, headers, expected):
+    assert describe(parse_notice(status, headers)) == expected
 
 
 class FakeClient:
-    """Keeps the sink of the last call."""
+    """Records the sink of the last call."""
 
     def __init__(self):
         self.sink = None
 
-    def send(self, _address, _payload, sink, _options):
+    def send(self, _address, _request, sink, _options):
         self.sink = sink
 
 
 class FakeBackend:
-    """Stands for a Backend; only its address is read."""
+    """A Backend with an address only."""
 
     def __init__(self):
         self.listed = self
@@ -58,28 +58,30 @@
 
 
 class FakeListener:
-    """Keeps what it is told."""
+    """Records calls and notices."""
 
-    def __init__(self, told):
-        self._told = told
+    def __init__(self, events):
+        self._events = events
 
     def note_sent(self, backend):
-        self._told.append((backend, 'sent'))
+        self._events.append((backend, 'sent'))
 
     def take(self, backend, notice, _sent_ms):
-        self._told.append((backend, describe(notice)))
+        self._events.append((backend, describe(notice)))
 
 
-def test_notice_is_told_before_the_answer():
-    """Whoever chooses another server after a rejection must know it."""
-    told = []
+def test_notice_is_reported_before_the_response():
+    """A retry after a rejection must already know the notice."""
+    events = []
     client = FakeClient()
     calls = ServerCalls(client, ManualClock())
-    calls.listener = FakeListener(told)
-    sink = WholeResponse(lambda *_answer: told.append('whole'), told.append)
+    calls.listener = FakeListener(events)
+    sink = WholeResponse(
+        lambda *_answer: events.append('response'), events.append
+    )
     backend = FakeBackend()
     calls.send(backend, b'', sink, None)
     client.sink.on_head(503, {'retry-after': '2'})
     client.sink.on_body(b'')
     client.sink.on_done()
-    assert told == [(backend, 'sent'), (backend, (False, 2000)), 'whole']
+    assert events == [(backend, 'sent'), (backend, (False, 2000)), 'response']
