--- a/crankchute/platform/backend_calls.py
+++ b/crankchute/platform/backend_calls.py
@@ -6,7 +6,7 @@
 from crankchute.core.event_stream import EventCutter
 from crankchute.core.forward_job import Repeat
 from crankchute.errors import BackendError
-from crankchute.platform.engine_reports import read_told_load
+from crankchute.platform.engine_reports import parse_load_header
 from crankchute.platform.server_calls import parse_notice
 from crankchute.platform.wire import (
     ACCOUNT,
@@ -86,7 +86,7 @@
         head = AnswerHead(
             status,
             drop_connection_headers(raw),
-            read_told_load(headers.get(TOLD_LOAD)),
+            parse_load_header(headers.get(TOLD_LOAD)),
         )
         self._is_stream = self._job.is_stream and head.is_success
         self._listener.on_head(head)
--- a/crankchute/platform/engine_reports.py
+++ b/crankchute/platform/engine_reports.py
@@ -1,4 +1,4 @@
-"""Reports of the platform's engines: the adapter of ReportPort."""
+"""Fetches and parses load reports of engines; implements ReportPort."""
 
 import orjson
 
@@ -9,12 +9,12 @@
 from crankchute.platform.wire import REPORT_PATH
 from crankchute.ports.http import WholeResponse
 
-_CONNECT_MS = 200
-_IDLE_MS = 8000
+_CONNECT_TIMEOUT_MS = 200
+_MAX_IDLE_MS = 8000
 
 
 class EngineReports(ReportPort):
-    """Asks for reports over HTTP."""
+    """Fetches reports over HTTP."""
 
     def __init__(self, calls):
         """Create the adapter.
@@ -27,59 +27,59 @@
     def ask(self, backend, on_load):
         """See ReportPort."""
 
-        def take(_status, body):
-            load = read_report(body)
+        def on_response(_status, body):
+            load = parse_report(body)
             if load is not None:
                 on_load(load)
 
-        self._get(backend, REPORT_PATH, take)
+        self._get(backend, REPORT_PATH, on_response)
 
     def check(self, backend, path):
         """See ReportPort."""
-        self._get(backend, path, _ignore)
+        self._get(backend, path, _ignore_response)
 
-    def _get(self, backend, path, take):
+    def _get(self, backend, path, on_response):
         self._calls.send(
             backend,
             build_request('GET', backend.listed.address, path),
-            WholeResponse(take, _log_failure),
-            CallOptions(idle_ms=_IDLE_MS, connect_ms=_CONNECT_MS),
+            WholeResponse(on_response, _log_failure),
+            CallOptions(idle_ms=_MAX_IDLE_MS, connect_ms=_CONNECT_TIMEOUT_MS),
         )
 
 
-def read_report(body):
-    """Return the SeenLoad of a report, or None if it is none.
+def parse_report(body):
+    """Return the SeenLoad of a report, or None if the report is malformed.
 
     Args:
-      body: The bytes of the answer.
+      body: The response body, bytes.
     """
     try:
-        return _read_load(orjson.loads(body))
+        return _parse_load(orjson.loads(body))
     except (KeyError, TypeError, ValueError) as exc:
         log_change('report_refused', reason=f'{type(exc).__name__}: {exc}')
         return None
 
 
-def _read_load(document):
-    requests = _read_count(document, 'running')
-    requests += _read_count(document, 'waiting')
-    born = _read_count(document, 'born') if 'born' in document else None
+def _parse_load(document):
+    requests = _parse_count(document, 'running')
+    requests += _parse_count(document, 'waiting')
+    born = _parse_count(document, 'born') if 'born' in document else None
     return SeenLoad(requests, born)
 
 
-def _read_count(document, name):
-    found = document[name]
-    if type(found) is not int or found < 0:  # noqa: WPS516  (no bool)
-        raise TypeError(f'{name} is no whole number')
-    return found
+def _parse_count(document, name):
+    count = document[name]
+    if type(count) is not int or count < 0:  # noqa: WPS516  (no bool)
+        raise TypeError(f'{name} is not a non-negative integer')
+    return count
 
 
-def read_told_load(text):
-    """Return the SeenLoad that an answer's header tells, or None.
+def parse_load_header(text):
+    """Return the SeenLoad of a response's load header, or None.
 
     Args:
-      text: Requests running, requests waiting and slots, joined by commas, or
-        None where the server does not tell.
+      text: The header's value "running,waiting,slots", or None if the response
+        has no such header.
     """
     if text is None:
         return None
@@ -90,8 +90,8 @@
     return SeenLoad(int(running) + int(waiting))
 
 
-def _ignore(_status, _body):
-    """Take an answer of which only the head counts, which others read."""
+def _ignore_response(_status, _body):
+    """Discard a response; ServerCalls has read what its head says."""
 
 
 def _log_failure(exc):
--- a/crankchute/platform/engine_reports_test.py
+++ b/crankchute/platform/engine_reports_test.py
@@ -1,8 +1,8 @@
-"""Tests of decoding what engines tell of their load."""
+"""Tests of parsing load headers and load reports."""
 
 import pytest
 
-from crankchute.platform.engine_reports import read_report, read_told_load
+from crankchute.platform.engine_reports import parse_report, parse_load_header
 
 
 def count_requests(load):
@@ -22,8 +22,8 @@
         ('-1,2,8', None),
     ],
 )
-def test_load_told_with_an_answer(text, requests):
-    assert count_requests(read_told_load(text)) == requests
+def test_load_header(text, requests):
+    assert count_requests(parse_load_header(text)) == requests
 
 
 @pytest.mark.parametrize(
@@ -42,8 +42,8 @@
         (b'no json', None),
     ],
 )
-def test_report_of_an_engine(body, requests):
-    assert count_requests(read_report(body)) == requests
+def test_report(body, requests):
+    assert count_requests(parse_report(body)) == requests
 
 
 @pytest.mark.parametrize(
@@ -53,5 +53,5 @@
         (b'{"running":1,"waiting":0}', None),
     ],
 )
-def test_report_tells_when_the_engine_started(body, born):
-    assert read_report(body).born == born
+def test_report_start_time(body, born):
+    assert parse_report(body).born == born
