--- a/crankchute/platform/backend_calls.py
+++ b/crankchute/platform/backend_calls.py
@@ -1,4 +1,4 @@
-"""Requests to the platform's backend servers: the adapter of ForwardPort."""
+"""Sends requests to backend servers over HTTP; implements ForwardPort."""
 
 from http import HTTPStatus
 
@@ -30,32 +30,32 @@
 )
 from crankchute.ports.http import ResponseSink
 
-#: How long opening a connection may take; zones are a millisecond apart.
-_CONNECT_MS = 400
-#: A request that may start once goes on a kept connection only if that was
-#: used this lately: a server may close one that rests at any time.
-_ONCE_IDLE_MS = 700
-_REPEATABLE_IDLE_MS = 8000
-_FIRST_REDIRECT = 300
-#: Statuses that promise a caller that its request did not run.
-_PROMISES = frozenset((408, 421, 429, 503))
+#: Connect timeout; round trips between zones take about a millisecond.
+_CONNECT_TIMEOUT_MS = 400
+#: The longest idle time of a reused connection.  It is shorter for requests
+#: that must not be repeated: a server may close an idle connection at any time.
+_NON_REPEATABLE_MAX_IDLE_MS = 700
+_REPEATABLE_MAX_IDLE_MS = 8000
+_FIRST_REDIRECT_STATUS = 300
+#: Statuses that tell a caller that its request was not executed.
+_NOT_EXECUTED_STATUSES = frozenset((408, 421, 429, 503))
 
 
-class AnswerReader(ResponseSink):
-    """Decodes the answer to one attempt for its listener."""
+class AttemptResponseSink(ResponseSink):
+    """Decodes the response to one attempt and reports it to the listener."""
 
     __slots__ = (
-        '_cutter',
+        '_event_parser',
         '_is_stream',
         '_job',
         '_listener',
-        '_over',
+        '_ended',
         '_rejection',
         'call',
     )
 
     def __init__(self, job, listener):
-        """Create the reader.
+        """Create the sink.
 
         Args:
           job: The ForwardJob.
@@ -63,29 +63,29 @@
         """
         self._job = job
         self._listener = listener
-        self._cutter = EventCutter()
+        self._event_parser = EventCutter()
         self._is_stream = False
         self._rejection = None
-        self._over = False
+        self._ended = False
         self.call = None
 
     def on_head(self, status, headers):
         """See ResponseSink."""
-        rejection = _read_rejection(status, headers)
+        rejection = _parse_rejection(status, headers)
         if rejection is not None:
             self._rejection = rejection
             return
-        fault = _find_fault(status, headers, self._job.request_id)
-        if fault is not None:
-            self._break_off(fault)
+        error = _find_protocol_error(status, headers, self._job.request_id)
+        if error is not None:
+            self._fail(error)
             return
-        raw = [
+        raw_headers = [
             (name.decode('latin-1'), text.decode('latin-1'))
             for name, text in self.call.raw_headers
         ]
         head = AnswerHead(
             status,
-            drop_connection_headers(raw),
+            drop_connection_headers(raw_headers),
             parse_load_header(headers.get(TOLD_LOAD)),
         )
         self._is_stream = self._job.is_stream and head.is_success
@@ -93,19 +93,21 @@
 
     def on_body(self, chunk):
         """See ResponseSink."""
-        if self._over or self._rejection:
+        if self._ended or self._rejection:
             return
-        take = self._pass_events if self._is_stream else self._listener.on_body
-        take(chunk)
+        consume = (
+            self._emit_events if self._is_stream else self._listener.on_body
+        )
+        consume(chunk)
 
     def on_done(self):
         """See ResponseSink."""
-        if self._over:
+        if self._ended:
             return
-        self._over = True
+        self._ended = True
         if self._rejection:
             self._listener.on_not_run(self._rejection)
-        elif self._cutter.has_rest:
+        elif self._event_parser.has_rest:
             text = 'the stream ended within an event'
             self._listener.on_failed(BackendError(text, sent=True, cut=True))
         else:
@@ -113,24 +115,24 @@
 
     def on_error(self, exc):
         """See ResponseSink."""
-        if self._over:
+        if self._ended:
             return
-        self._over = True
+        self._ended = True
         if self._rejection is not None:
-            # The head alone is the server's word.
+            # The head already says that the request was not executed.
             self._listener.on_not_run(self._rejection)
             return
         self._listener.on_failed(exc)
 
-    def _pass_events(self, chunk):
-        for event in self._cutter.feed(chunk):
+    def _emit_events(self, chunk):
+        for event in self._event_parser.feed(chunk):
             self._listener.on_event(event)
 
-    def _break_off(self, text):
-        self._over = True
+    def _fail(self, reason):
+        self._ended = True
         if self.call is not None:
             self.call.cancel()
-        self._listener.on_failed(BackendError(text, sent=True))
+        self._listener.on_failed(BackendError(reason, sent=True))
 
 
 class BackendCalls(ForwardPort):
@@ -150,7 +152,7 @@
         """See ForwardPort."""
         payload = job.payload
         headers = list(payload.headers)
-        headers.extend(_write_own_headers(job, placement, attempt))
+        headers.extend(_build_headers(job, placement, attempt))
         backend = placement.backend
         request = build_request(
             payload.method,
@@ -159,12 +161,16 @@
             payload.body,
             headers,
         )
-        may_start_once = job.repeat == Repeat.ONCE
-        idle_ms = _ONCE_IDLE_MS if may_start_once else _REPEATABLE_IDLE_MS
-        options = CallOptions(idle_ms=idle_ms, connect_ms=_CONNECT_MS)
-        reader = AnswerReader(job, listener)
-        reader.call = self._calls.send(backend, request, reader, options)
-        return reader.call
+        is_non_repeatable = job.repeat == Repeat.ONCE
+        idle_ms = (
+            _NON_REPEATABLE_MAX_IDLE_MS
+            if is_non_repeatable
+            else _REPEATABLE_MAX_IDLE_MS
+        )
+        options = CallOptions(idle_ms=idle_ms, connect_ms=_CONNECT_TIMEOUT_MS)
+        sink = AttemptResponseSink(job, listener)
+        sink.call = self._calls.send(backend, request, sink, options)
+        return sink.call
 
     def is_connected(self, backend):
         """See ForwardPort."""
@@ -179,7 +185,7 @@
         self._client.close_idle(backend.listed.address)
 
 
-def _write_own_headers(job, placement, attempt):
+def _build_headers(job, placement, attempt):
     remaining_ms = max(int(attempt.remaining_ms), 1)
     headers = [
         (DEADLINE_MS, str(remaining_ms)),
@@ -192,37 +198,39 @@
     if job.size is not None:
         headers.append((PRIORITY, str(placement.priority)))
     if placement.helpers:
-        helpers = ','.join(_write_helper(one) for one in placement.helpers)
+        helpers = ','.join(
+            _format_helper(helper) for helper in placement.helpers
+        )
         headers.append((HELPERS, helpers))
     return headers
 
 
-def _write_helper(helper):
+def _format_helper(helper):
     host, port = helper.backend.listed.address
     address = f'{host}:{port}'
     return address if helper.ticket is None else f'{address}/{helper.ticket}'
 
 
-def _read_rejection(status, headers):
-    """Return the Rejection that a head is, or None."""
+def _parse_rejection(status, headers):
+    """Return the Rejection of a response head, or None if it is accepted."""
     if status == HTTPStatus.MISDIRECTED_REQUEST:
         return Rejection(MOVED, headers.get(FAULTY_SERVER))
     if NOT_RUN in headers:
-        full = status == HTTPStatus.SERVICE_UNAVAILABLE
+        is_full = status == HTTPStatus.SERVICE_UNAVAILABLE
         return Rejection(
-            'full' if full else 'rejected',
+            'full' if is_full else 'rejected',
             headers.get(FAULTY_SERVER),
             parse_notice(status, headers).rest_ms,
         )
     return None
 
 
-def _find_fault(status, headers, request_id):
-    """Return what speaks against a head, a string, or None."""
+def _find_protocol_error(status, headers, request_id):
+    """Return why a response head is invalid, or None if it is valid."""
     if headers.get(REQUEST_ID) != request_id:
         return 'the answer belongs to another request'
-    if SIGNATURE not in headers and status < _FIRST_REDIRECT:
+    if SIGNATURE not in headers and status < _FIRST_REDIRECT_STATUS:
         return 'the answer is not signed'
-    if status in _PROMISES:
+    if status in _NOT_EXECUTED_STATUSES:
         return f'the server answered {status} without saying that it ran not'
     return None
--- a/crankchute/platform/backend_calls_test.py
+++ b/crankchute/platform/backend_calls_test.py
@@ -1,7 +1,6 @@
-"""Tests of requests to backend servers, over loopback sockets.
+"""Tests of BackendCalls over loopback sockets.
 
-A small server plays each answer that the platform's pages tell of, byte by
-byte; the listener says what the core would hear.
+Each test sends the raw bytes of a response and compares the listener's calls.
 """
 
 import socket
@@ -20,54 +19,56 @@
 from crankchute.ports.forwarding import AttemptListener
 
 _LOOPBACK = '127.0.0.1'
-_ID = b'X-Crankchute-Request-Id: r1\r\n'
-_SIGNED = b'%bX-Crankchute-Response-Signature: s\r\n' % _ID
+_REQUEST_ID_HEADER = b'X-Crankchute-Request-Id: r1\r\n'
+_VALID_HEADERS = (
+    b'%bX-Crankchute-Response-Signature: s\r\n' % _REQUEST_ID_HEADER
+)
 
 
-class Heard(AttemptListener):
-    """Keeps what is told of an attempt."""
+class RecordingListener(AttemptListener):
+    """Records the events of an attempt."""
 
     def __init__(self):
-        self.told = []
+        self.events = []
 
     def on_head(self, head):
-        self.told.append(('head', head.status))
+        self.events.append(('head', head.status))
 
     def on_body(self, chunk):
-        self.told.append(('body', chunk))
+        self.events.append(('body', chunk))
 
     def on_event(self, event):
-        self.told.append(('event', event.number))
+        self.events.append(('event', event.number))
 
     def on_end(self):
-        self.told.append(('end', None))
+        self.events.append(('end', None))
 
     def on_not_run(self, rejection):
-        self.told.append(('not_run', rejection.code))
+        self.events.append(('not_run', rejection.code))
 
     def on_failed(self, exc):
-        self.told.append(('failed', exc.sent))
+        self.events.append(('failed', exc.sent))
 
     @property
-    def has_end(self):
-        return bool(self.told) and self.told[-1][0] in {
+    def has_ended(self):
+        return bool(self.events) and self.events[-1][0] in {
             'end',
             'not_run',
             'failed',
         }
 
 
-class World:
-    """A listening socket that a test plays a server on."""
+class BackendHarness:
+    """A BackendCalls adapter, and a socket on which tests act as the server."""
 
     def __init__(self):
         self.loop = Loop()
         self.client = HttpClient(timers=self.loop.timers).register(self.loop)
         calls = ServerCalls(self.client, self.loop.timers.clock)
         self.calls = BackendCalls(self.client, calls)
-        self.listening = socket.create_server((_LOOPBACK, 0))
-        self.listening.setblocking(False)
-        port = self.listening.getsockname()[1]
+        self.listening_socket = socket.create_server((_LOOPBACK, 0))
+        self.listening_socket.setblocking(False)
+        port = self.listening_socket.getsockname()[1]
         self.backend = Backend(
             Listed(
                 {
@@ -78,48 +79,48 @@
                 }
             )
         )
-        self.conns = []
+        self.connections = []
         self.received = b''
 
     def send(self, *, helpers=(), resume_after=None, **changes):
         headers = [('X-Crankchute-Request-Id', 'r1'), ('Host', 'a.example')]
         payload = RequestPayload('POST', '/p/x?y', headers, b'body')
         job = make_job(payload=payload, **changes)
-        heard = Heard()
+        listener = RecordingListener()
         call = self.calls.send(
             job,
             Placement(self.backend, helpers=helpers),
             AttemptOrder(1, 900, resume_after),
-            heard,
+            listener,
         )
-        return call, heard
+        return call, listener
 
     def receive(self):
-        """Take one request; returns its bytes."""
+        """Receive one request and return its bytes."""
         self.received = b''
-        self.loop.run_until(self._has_request, 0.001)
+        self.loop.run_until(self._has_received_request, 0.001)
         return self.received
 
-    def answer(self, heard, payload, *, reset=False):
-        conn = self.conns[-1]
-        conn.sendall(payload)
+    def answer(self, listener, payload, *, reset=False):
+        connection = self.connections[-1]
+        connection.sendall(payload)
         if reset:
             linger = b'\x01\x00\x00\x00\x00\x00\x00\x00'
-            conn.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
-        self.loop.run_until(lambda: heard.has_end, 0.001)
+            connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
+        self.loop.run_until(lambda: listener.has_ended, 0.001)
 
-    def _has_request(self):
+    def _has_received_request(self):
         with suppress(BlockingIOError):
-            conn, _address = self.listening.accept()
-            conn.setblocking(False)
-            self.conns.append(conn)
-        for known in self.conns:
+            connection, _address = self.listening_socket.accept()
+            connection.setblocking(False)
+            self.connections.append(connection)
+        for open_connection in self.connections:
             with suppress(BlockingIOError):
-                self.received += known.recv(65_536)
+                self.received += open_connection.recv(65_536)
         return self.received.endswith(b'body')
 
 
-def whole(status, headers, body=b'ok'):
+def make_response(status, headers, body=b'ok'):
     return b'HTTP/1.1 %d X\r\n%bContent-Length: %d\r\n\r\n%b' % (
         status,
         headers,
@@ -128,89 +129,104 @@
     )
 
 
-def chunked(*parts):
-    head = b'HTTP/1.1 200 OK\r\n%bTransfer-Encoding: chunked\r\n\r\n' % _SIGNED
-    chunks = b''.join(b'%x\r\n%b\r\n' % (len(one), one) for one in parts)
+def make_chunked_response(*parts):
+    head = (
+        b'HTTP/1.1 200 OK\r\n%bTransfer-Encoding: chunked\r\n\r\n'
+        % _VALID_HEADERS
+    )
+    chunks = b''.join(b'%x\r\n%b\r\n' % (len(part), part) for part in parts)
     return b'%b%b0\r\n\r\n' % (head, chunks)
 
 
 @pytest.mark.parametrize(
-    ('payload', 'told'),
+    ('payload', 'expected'),
     [
-        (whole(200, _SIGNED), [('head', 200), ('body', b'ok'), ('end', None)]),
-        (whole(500, _SIGNED), [('head', 500), ('body', b'ok'), ('end', None)]),
-        (whole(200, _ID), [('failed', True)]),
-        (whole(200, _SIGNED.replace(b'r1', b'r2')), [('failed', True)]),
-        (whole(503, _ID), [('failed', True)]),
-        (whole(429, _SIGNED), [('failed', True)]),
         (
-            whole(503, b'X-Crankchute-Not-Executed: 1\r\n'),
+            make_response(200, _VALID_HEADERS),
+            [('head', 200), ('body', b'ok'), ('end', None)],
+        ),
+        (
+            make_response(500, _VALID_HEADERS),
+            [('head', 500), ('body', b'ok'), ('end', None)],
+        ),
+        (make_response(200, _REQUEST_ID_HEADER), [('failed', True)]),
+        (
+            make_response(200, _VALID_HEADERS.replace(b'r1', b'r2')),
+            [('failed', True)],
+        ),
+        (make_response(503, _REQUEST_ID_HEADER), [('failed', True)]),
+        (make_response(429, _VALID_HEADERS), [('failed', True)]),
+        (
+            make_response(503, b'X-Crankchute-Not-Executed: 1\r\n'),
             [('not_run', 'full')],
         ),
         (
-            whole(400, b'X-Crankchute-Not-Executed: 1\r\n'),
+            make_response(400, b'X-Crankchute-Not-Executed: 1\r\n'),
             [('not_run', 'rejected')],
         ),
-        (whole(421, b''), [('not_run', 'moved')]),
+        (make_response(421, b''), [('not_run', 'moved')]),
         (b'garbage that is no answer\r\n\r\n', [('failed', True)]),
     ],
 )
-def test_answers_of_plain_services(payload, told):
-    world = World()
-    _call, heard = world.send()
-    world.receive()
-    world.answer(heard, payload)
-    assert heard.told == told
+def test_response_of_plain_service_is_classified(payload, expected):
+    harness = BackendHarness()
+    _call, listener = harness.send()
+    harness.receive()
+    harness.answer(listener, payload)
+    assert listener.events == expected
 
 
 @pytest.mark.parametrize(
-    ('payload', 'told'),
+    ('payload', 'expected'),
     [
         (
-            chunked(b'id: 1\ndata: a\n', b'\nid: 2\ndata: b\n\n'),
+            make_chunked_response(b'id: 1\ndata: a\n', b'\nid: 2\ndata: b\n\n'),
             ['head', 'event', 'event', 'end'],
         ),
-        (chunked(b'id: 1\ndata: a\n\nid: 2'), ['head', 'event', 'failed']),
+        (
+            make_chunked_response(b'id: 1\ndata: a\n\nid: 2'),
+            ['head', 'event', 'failed'],
+        ),
     ],
 )
-def test_streams_are_told_in_whole_events(payload, told):
-    world = World()
-    _call, heard = world.send(is_stream=True, repeat=Repeat.RESUME)
-    world.receive()
-    world.answer(heard, payload)
-    assert [word for word, _what in heard.told] == told
+def test_stream_is_split_into_events(payload, expected):
+    harness = BackendHarness()
+    _call, listener = harness.send(is_stream=True, repeat=Repeat.RESUME)
+    harness.receive()
+    harness.answer(listener, payload)
+    assert [kind for kind, _detail in listener.events] == expected
 
 
 @pytest.mark.parametrize(
     ('is_reset', 'end'),
     [(False, 'end'), (True, 'failed')],
 )
-def test_body_without_a_length_is_whole_only_at_a_clean_end(is_reset, end):
-    world = World()
-    _call, heard = world.send()
-    world.receive()
-    conn = world.conns[-1]
-    conn.sendall(b'HTTP/1.1 200 OK\r\n%b\r\nbody' % _SIGNED)
-    world.loop.run_until(lambda: len(heard.told) > 1, 0.001)
+def test_body_without_length_is_complete_only_on_clean_close(is_reset, end):
+    harness = BackendHarness()
+    _call, listener = harness.send()
+    harness.receive()
+    connection = harness.connections[-1]
+    connection.sendall(b'HTTP/1.1 200 OK\r\n%b\r\nbody' % _VALID_HEADERS)
+    harness.loop.run_until(lambda: len(listener.events) > 1, 0.001)
     if is_reset:
         linger = b'\x01\x00\x00\x00\x00\x00\x00\x00'
-        conn.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
-    conn.close()
-    world.loop.run_until(lambda: heard.has_end, 0.001)
-    assert heard.told[-1][0] == end
+        connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
+    connection.close()
+    harness.loop.run_until(lambda: listener.has_ended, 0.001)
+    assert listener.events[-1][0] == end
 
 
-def test_what_a_server_is_told():
-    world = World()
-    world.send(
+def test_request_has_forwarding_headers():
+    harness = BackendHarness()
+    harness.send(
         account='acc',
         resume_after=7,
-        helpers=(Helper(world.backend), Helper(world.backend, 't9', 10)),
+        helpers=(Helper(harness.backend), Helper(harness.backend, 't9', 10)),
     )
-    seen = world.receive().decode()
-    head, _blank, body = seen.partition('\r\n\r\n')
+    request = harness.receive().decode()
+    head, _blank, body = request.partition('\r\n\r\n')
     lines = head.split('\r\n')
-    host, port = world.backend.listed.address
+    host, port = harness.backend.listed.address
     assert lines[0] == 'POST /p/x?y HTTP/1.1'
     assert 'Host: a.example' in lines
     assert 'X-Crankchute-Request-Id: r1' in lines
@@ -222,30 +238,30 @@
     assert body == 'body'
 
 
-def test_bytes_after_an_answer_end_the_connection():
-    world = World()
-    _call, heard = world.send()
-    world.receive()
-    extra = whole(200, _SIGNED)
-    world.answer(heard, extra * 2)
-    world.send()
-    world.receive()
-    assert len(world.conns) == 2
+def test_surplus_bytes_after_response_close_the_connection():
+    harness = BackendHarness()
+    _call, listener = harness.send()
+    harness.receive()
+    payload = make_response(200, _VALID_HEADERS)
+    harness.answer(listener, payload * 2)
+    harness.send()
+    harness.receive()
+    assert len(harness.connections) == 2
 
 
-def test_bytes_on_an_idle_connection_end_it():
-    world = World()
-    _call, heard = world.send()
-    world.receive()
-    world.answer(heard, whole(200, _SIGNED))
-    address = world.backend.listed.address
-    assert world.client.has_idle(address)
-    world.conns[-1].sendall(b'late')
-    world.loop.run_until(lambda: not world.client.has_idle(address), 0.001)
+def test_bytes_on_idle_connection_close_it():
+    harness = BackendHarness()
+    _call, listener = harness.send()
+    harness.receive()
+    harness.answer(listener, make_response(200, _VALID_HEADERS))
+    address = harness.backend.listed.address
+    assert harness.client.has_idle(address)
+    harness.connections[-1].sendall(b'late')
+    harness.loop.run_until(lambda: not harness.client.has_idle(address), 0.001)
 
 
 @pytest.mark.parametrize(
-    ('headers', 'kept'),
+    ('headers', 'is_reusable'),
     [
         (b'', True),
         (b'Keep-Alive: timeout=5\r\n', True),
@@ -253,11 +269,13 @@
         (b'Connection: close\r\n', False),
     ],
 )
-def test_connections_are_kept_as_the_server_says(headers, kept):
-    world = World()
-    _call, heard = world.send()
-    world.receive()
-    world.answer(heard, whole(200, _SIGNED + headers))
-    world.loop.timers.after(2, heard.told.clear)
-    world.loop.run_until(lambda: not heard.told, 0.001)
-    assert world.client.has_idle(world.backend.listed.address) == kept
+def test_connection_reuse_follows_response_headers(headers, is_reusable):
+    harness = BackendHarness()
+    _call, listener = harness.send()
+    harness.receive()
+    harness.answer(listener, make_response(200, _VALID_HEADERS + headers))
+    harness.loop.timers.after(2, listener.events.clear)
+    harness.loop.run_until(lambda: not listener.events, 0.001)
+    assert (
+        harness.client.has_idle(harness.backend.listed.address) == is_reusable
+    )
