--- a/crankchute/platform/answers.py
+++ b/crankchute/platform/answers.py
@@ -1,4 +1,4 @@
-"""Answers and refusals, as callers of the platform get them."""
+"""Writes answers and refusals to callers over HTTP."""
 
 from http import HTTPStatus
 
@@ -6,11 +6,11 @@
 from crankchute.core.outcomes import Outcome
 from crankchute.ports.forwarding import AnswerSink
 
-_DEADLINE = 'deadline_exceeded'
+_DEADLINE_EXCEEDED = 'deadline_exceeded'
 
 
 class ExchangeAnswer(AnswerSink):
-    """Gives the answer of one request to its caller."""
+    """Writes the answer to one request to its HTTP exchange."""
 
     __slots__ = ('_exchange',)
 
@@ -39,7 +39,7 @@
         self._exchange.finish()
 
     def on_refused(self, refusal):
-        """Refuse, or break the connection of a stream that has begun."""
+        """Send an error response, or abort a stream that has started."""
         if self._exchange.started:
             self._exchange.abort()
             return
@@ -47,17 +47,17 @@
         if refusal.retry_after_ms is not None:
             headers.append(write_retry_after(refusal.retry_after_ms))
         self._exchange.reply_json(
-            status_of(refusal),
+            http_status_of(refusal),
             {'error': refusal.code, 'message': refusal.text},
             headers,
         )
 
 
-def status_of(refusal):
+def http_status_of(refusal):
     """Return the HTTP status of a refusal.
 
-    503 promises that the request has not run and never will; after anything
-    else no promise is made.
+    A 503 guarantees that the request has not run and will not run; other
+    statuses guarantee nothing.
 
     Args:
       refusal: A Refusal.
@@ -66,6 +66,6 @@
     """
     if refusal.outcome == Outcome.NOT_RUN:
         return HTTPStatus.SERVICE_UNAVAILABLE
-    if refusal.code == _DEADLINE:
+    if refusal.code == _DEADLINE_EXCEEDED:
         return HTTPStatus.GATEWAY_TIMEOUT
     return HTTPStatus.BAD_GATEWAY
