--- a/crankchute/platform/engine_orders.py
+++ b/crankchute/platform/engine_orders.py
@@ -1,4 +1,4 @@
-"""Orders to the platform's engines: the adapter of ReservationPort."""
+"""Sends memory reservation orders to engines; implements ReservationPort."""
 
 from http import HTTPStatus
 
@@ -9,15 +9,15 @@
 from crankchute.platform.wire import ORDER_PATH
 from crankchute.ports.http import WholeResponse
 
-#: How long memory may take to be set aside; zones are a millisecond apart, and
-#: a request waits for it.
-_ORDER_MS = 250
-_IDLE_MS = 8000
-_DONE = frozenset((HTTPStatus.OK, HTTPStatus.ACCEPTED))
+#: Timeout of an order to reserve memory.  It is short because a request waits
+#: for the reservation.
+_RESERVE_TIMEOUT_MS = 250
+_MAX_IDLE_MS = 8000
+_SUCCESS_STATUSES = frozenset((HTTPStatus.OK, HTTPStatus.ACCEPTED))
 
 
 class EngineOrders(ReservationPort):
-    """Sends orders over HTTP."""
+    """Sends reservation orders over HTTP."""
 
     def __init__(self, calls, timers):
         """Create the adapter.
@@ -37,22 +37,26 @@
             'token-count': helper.tokens,
             'hold-ms': hold_ms,
         }
-        self._order(helper, document, _ORDER_MS, on_done)
+        self._send_order(helper, document, _RESERVE_TIMEOUT_MS, on_done)
 
     def release(self, helper, patience_ms, on_done):
         """See ReservationPort."""
         document = {'op': 'release', 'id': helper.ticket}
-        self._order(
+        self._send_order(
             helper,
             document,
             patience_ms,
-            lambda is_done: on_done(is_done is not None),
+            lambda is_accepted: on_done(is_accepted is not None),
         )
 
-    def _order(self, helper, document, patience_ms, on_done):
-        """Send an order and tell one end: done, refused, or no answer."""
-        pending = _Pending(on_done)
-        payload = build_request(
+    def _send_order(self, helper, document, timeout_ms, on_done):
+        """Send an order.
+
+        on_done gets True if it was accepted, False if it was refused, or None
+        if there was no response within timeout_ms.
+        """
+        pending = _PendingOrder(on_done)
+        request = build_request(
             'POST',
             helper.backend.listed.address,
             ORDER_PATH,
@@ -60,37 +64,40 @@
             (('Content-Type', 'application/json'),),
         )
         sink = WholeResponse(
-            lambda status, _body: pending.end(status in _DONE),
-            lambda _exc: pending.end(None),
+            lambda status, _body: pending.finish(status in _SUCCESS_STATUSES),
+            lambda _exc: pending.finish(None),
+        )
+        options = CallOptions(idle_ms=_MAX_IDLE_MS, connect_ms=timeout_ms)
+        pending.timeout_timer = self._timers.after(
+            timeout_ms,
+            pending.on_timeout,
         )
-        options = CallOptions(idle_ms=_IDLE_MS, connect_ms=patience_ms)
-        pending.guard = self._timers.after(patience_ms, pending.time_out)
         pending.call = self._calls.send(
             helper.backend,
-            payload,
+            request,
             sink,
             options,
         )
 
 
-class _Pending:
-    """An order that was sent and not answered."""
+class _PendingOrder:
+    """An order that is waiting for its response."""
 
-    __slots__ = ('_on_done', 'call', 'guard')
+    __slots__ = ('_on_done', 'call', 'timeout_timer')
 
     def __init__(self, on_done):
         self._on_done = on_done
         self.call = None
-        self.guard = None
+        self.timeout_timer = None
 
-    def end(self, is_done):
+    def finish(self, is_accepted):
         on_done = self._on_done
         self._on_done = None
         if on_done is not None:
-            self.guard.cancel()
-            on_done(is_done)
+            self.timeout_timer.cancel()
+            on_done(is_accepted)
 
-    def time_out(self):
+    def on_timeout(self):
         if self.call is not None:
             self.call.cancel()
-        self.end(None)
+        self.finish(None)
--- a/crankchute/platform/forwarding_test.py
+++ b/crankchute/platform/forwarding_test.py
@@ -1,7 +1,7 @@
-"""Tests of the forwarding engine against engines that speak the wire.
+"""Integration tests of request forwarding to simulated engines.
 
-The real core, choosers, reservations and adapters run on one loop with a few
-engine stand-ins over loopback sockets; nothing is timed.
+The core, choosers, reservations and adapters run on one event loop with
+StandinEngines, over loopback sockets.
 """
 
 import random
@@ -39,22 +39,22 @@
 
 SHORT = PromptSize(2_000, 100)
 HUGE = PromptSize(30_000, 100)
-_MEMORY = 10_000
+_MEMORY_TOKENS = 10_000
 _TICK_S = 0.001
-_ORDER_MS = 2500
-#: How long a request may be on its way to an engine before that starts again.
-_RESTART_MS = 50
-#: Far beyond what releases and their repetition take.
-_GIVE_UP_MS = 20_000
-WHOLE = (
+_ORDER_TIMEOUT_MS = 2500
+#: The delay after which an engine restarts while a request is running.
+_RESTART_AFTER_MS = 50
+#: Longer than a release and its retries take.
+_RELEASE_TIMEOUT_MS = 20_000
+COMPLETE_STREAM = (
     ('head', 200),
     *(('event', number) for number in range(EVENTS)),
     ('end', None),
 )
 
 
-class World:
-    """A desk and its engines on one loop."""
+class ForwardingHarness:
+    """A ForwardDesk and its engines on one event loop."""
 
     def __init__(self, engines=4):
         self.loop = Loop()
@@ -63,10 +63,10 @@
         calls = ServerCalls(client, self.loop.timers.clock)
         by_address = {}
         self.engines = [
-            StandinEngine(self.loop, f'i-{number}', by_address, _MEMORY)
+            StandinEngine(self.loop, f'i-{number}', by_address, _MEMORY_TOKENS)
             for number in range(engines)
         ]
-        self.backends = [_list_engine(one) for one in self.engines]
+        self.backends = [_list_engine(engine) for engine in self.engines]
         reservations = ReservationDesk(
             EngineOrders(calls, self.loop.timers),
             self.loop.timers,
@@ -94,7 +94,7 @@
         return [run for engine in self.engines for run in engine.runs]
 
     def submit(self, size=SHORT, **fields):
-        """Return what a caller saw, once its request has ended."""
+        """Submit a request, wait for its end and return what the caller got."""
         now_ms = self.loop.timers.clock.now_ms()
         usage = f'{size.prompt},{size.answer}'
         headers = [
@@ -114,23 +114,27 @@
         self.loop.run_until(lambda: flow.ended, _TICK_S)
         return tuple(sink.seen)
 
-    def wait_free(self):
-        """Wait until no engine keeps memory for anybody, not for ever."""
-        given_up = []
-        self.loop.timers.after(_GIVE_UP_MS, lambda: given_up.append(True))
+    def wait_until_released(self):
+        """Wait until all reserved memory is released, up to a timeout."""
+        timed_out = []
+        self.loop.timers.after(
+            _RELEASE_TIMEOUT_MS, lambda: timed_out.append(True)
+        )
         self.loop.run_until(
-            lambda: given_up or not self._kept(),
+            lambda: timed_out or not self._engines_with_tickets(),
             _TICK_S,
         )
-        assert not self._kept()
+        assert not self._engines_with_tickets()
 
-    def _kept(self):
+    def _engines_with_tickets(self):
         return [engine for engine in self.engines if engine.tickets]
 
     def _make_parts(self, reservations):
         timers = self.loop.timers
         return ChooserParts(
-            pool=PoolConfig(POOL, 64, make_figures(memory_tokens=_MEMORY)),
+            pool=PoolConfig(
+                POOL, 64, make_figures(memory_tokens=_MEMORY_TOKENS)
+            ),
             members=lambda: self.backends,
             timers=timers,
             random=random.Random(1),
@@ -146,15 +150,15 @@
 
 
 @pytest.fixture(autouse=True)
-def patient_orders(monkeypatch):
-    """Let orders take longer than a busy machine needs for one.
+def longer_order_timeout(monkeypatch):
+    """Raise the order timeouts, so that tests pass on a busy machine.
 
-    With 40 such processes at once an order took over the 250 ms after which
-    another engine is asked, and no engine was left.
+    Otherwise slow responses to orders exclude engines until none is left.
     """
-    monkeypatch.setattr('crankchute.core.lease._ASK_MS', _ORDER_MS)
+    monkeypatch.setattr('crankchute.core.lease._ASK_MS', _ORDER_TIMEOUT_MS)
     monkeypatch.setattr(
-        'crankchute.platform.engine_orders._ORDER_MS', _ORDER_MS
+        'crankchute.platform.engine_orders._RESERVE_TIMEOUT_MS',
+        _ORDER_TIMEOUT_MS,
     )
 
 
@@ -173,27 +177,27 @@
     )
 
 
-def test_stream_is_passed_on_whole():
-    world = World()
-    assert world.submit() == WHOLE
-    assert [run.first_event for run in world.runs] == [0]
+def test_stream_is_forwarded_completely():
+    harness = ForwardingHarness()
+    assert harness.submit() == COMPLETE_STREAM
+    assert [run.first_event for run in harness.runs] == [0]
 
 
 @pytest.mark.parametrize(
-    ('behaviour', 'starts'),
+    ('behaviour', 'first_events'),
     [
         (Behaviour.FULL, [0]),
         (Behaviour.CLOSE, [0, 0]),
         (Behaviour.BREAK_OFF, [0, 2]),
     ],
 )
-def test_stream_goes_on_at_another_engine(behaviour, starts):
-    """What fails once is taken up where the caller's events end."""
-    world = World(engines=2)
-    world.engines[1].next_behaviours.append(behaviour)
-    assert world.submit() == WHOLE
-    assert [run.first_event for run in reversed(world.runs)] == starts
-    assert len({run.request_id for run in world.runs}) == 1
+def test_stream_resumes_at_another_engine(behaviour, first_events):
+    """The stream continues after the last event that the caller has got."""
+    harness = ForwardingHarness(engines=2)
+    harness.engines[1].next_behaviours.append(behaviour)
+    assert harness.submit() == COMPLETE_STREAM
+    assert [run.first_event for run in reversed(harness.runs)] == first_events
+    assert len({run.request_id for run in harness.runs}) == 1
 
 
 @pytest.mark.parametrize(
@@ -203,90 +207,90 @@
         (Behaviour.FULL, None, 1),
     ],
 )
-def test_request_that_may_start_once_is_not_sent_again(
+def test_non_repeatable_request_is_not_retried_after_start(
     behaviour, outcome, runs
 ):
-    world = World(engines=2)
-    world.engines[1].next_behaviours.append(behaviour)
-    seen = world.submit(repeat=Repeat.ONCE)
-    assert len(world.runs) == runs
+    harness = ForwardingHarness(engines=2)
+    harness.engines[1].next_behaviours.append(behaviour)
+    seen = harness.submit(repeat=Repeat.ONCE)
+    assert len(harness.runs) == runs
     if outcome is None:
-        assert seen == WHOLE
+        assert seen == COMPLETE_STREAM
     else:
         assert seen == (('refused', outcome),)
 
 
-def test_another_incarnation_at_the_address_runs_nothing():
-    world = World(engines=2)
-    world.engines[1].identity = 'i-new'
-    assert world.submit() == WHOLE
-    assert not world.engines[1].runs
-    assert world.moved == [world.backends[1]]
+def test_other_incarnation_at_the_address_gets_no_request():
+    harness = ForwardingHarness(engines=2)
+    harness.engines[1].identity = 'i-new'
+    assert harness.submit() == COMPLETE_STREAM
+    assert not harness.engines[1].runs
+    assert harness.moved == [harness.backends[1]]
 
 
-def test_engine_that_started_again_under_its_id_begins_anew():
-    """A stream that hung there goes on elsewhere, and new ones run there."""
-    world = World(engines=2)
-    engine, before = world.engines[1], world.backends[1]
+def test_restarted_engine_with_same_id_is_a_new_backend():
+    """A stream that hangs there resumes elsewhere; new requests run there."""
+    harness = ForwardingHarness(engines=2)
+    engine, old_backend = harness.engines[1], harness.backends[1]
     engine.next_behaviours.append(Behaviour.SILENT)
     engine.restart()
 
-    def tell_restart():
-        world.backends[1] = _list_engine(engine)
-        world.desk.note_restarted(before)
-
-    world.loop.timers.after(_RESTART_MS, tell_restart)
-    assert world.submit() == WHOLE
-    assert [len(one.runs) for one in world.engines] == [1, 1]
-    again = world.backends[1]
-    assert again.identity != before.identity
-    assert again.in_flight == before.in_flight == 0
-    world.backends[0].breaker.note_start()
-    world.backends.pop(0)
-    assert world.submit() == WHOLE
+    def announce_restart():
+        harness.backends[1] = _list_engine(engine)
+        harness.desk.note_restarted(old_backend)
+
+    harness.loop.timers.after(_RESTART_AFTER_MS, announce_restart)
+    assert harness.submit() == COMPLETE_STREAM
+    assert [len(standin.runs) for standin in harness.engines] == [1, 1]
+    new_backend = harness.backends[1]
+    assert new_backend.identity != old_backend.identity
+    assert new_backend.in_flight == old_backend.in_flight == 0
+    harness.backends[0].breaker.note_start()
+    harness.backends.pop(0)
+    assert harness.submit() == COMPLETE_STREAM
     assert len(engine.runs) == 2
 
 
-def test_memory_of_before_is_not_there_after_a_restart():
-    """What an engine set aside before it started again is set aside anew."""
-    world = World()
-    helper = world.engines[0]
-    helper.tickets['of-before'] = _MEMORY
+def test_memory_reserved_before_a_restart_is_not_reused():
+    """Memory is reserved again after the restart."""
+    harness = ForwardingHarness()
+    helper = harness.engines[0]
+    helper.tickets['before-restart'] = _MEMORY_TOKENS
     helper.restart()
-    assert world.submit(HUGE, goal_ms=60_000) == WHOLE
-    world.wait_free()
+    assert harness.submit(HUGE, goal_ms=60_000) == COMPLETE_STREAM
+    harness.wait_until_released()
 
 
-def test_prompt_beyond_one_memory_is_held_by_several_engines():
-    """Each ticket is used once and free when the request has ended."""
-    world = World()
-    assert world.submit(HUGE, goal_ms=60_000) == WHOLE
-    tickets = world.runs[0].tickets
+def test_prompt_larger_than_one_memory_uses_several_engines():
+    """Each ticket is used once and released when the request has ended."""
+    harness = ForwardingHarness()
+    assert harness.submit(HUGE, goal_ms=60_000) == COMPLETE_STREAM
+    tickets = harness.runs[0].tickets
     assert len(tickets) >= 3
     assert len(set(tickets)) == len(tickets)
-    world.wait_free()
+    harness.wait_until_released()
 
 
 @pytest.mark.parametrize('behaviour', [Behaviour.CLOSE, Behaviour.BREAK_OFF])
-def test_memory_is_free_after_a_failure(behaviour):
-    world = World(engines=8)
-    for engine in world.engines:
+def test_memory_is_released_after_a_failure(behaviour):
+    harness = ForwardingHarness(engines=8)
+    for engine in harness.engines:
         engine.next_behaviours.append(behaviour)
-    world.submit(HUGE, goal_ms=60_000)
-    assert 1 <= len(world.runs) <= 2
-    world.wait_free()
+    harness.submit(HUGE, goal_ms=60_000)
+    assert 1 <= len(harness.runs) <= 2
+    harness.wait_until_released()
 
 
-def test_memory_that_cannot_be_set_aside_is_said_not_to_have_run():
-    world = World()
-    for engine in world.engines:
-        engine.tickets['of-another'] = _MEMORY
-    assert world.submit(HUGE) == (('refused', Outcome.NOT_RUN),)
-    assert not world.runs
+def test_request_is_refused_as_not_run_without_free_memory():
+    harness = ForwardingHarness()
+    for engine in harness.engines:
+        engine.tickets['other-request'] = _MEMORY_TOKENS
+    assert harness.submit(HUGE) == (('refused', Outcome.NOT_RUN),)
+    assert not harness.runs
 
 
-def test_engine_that_leaves_orders_unanswered_is_done_without():
-    world = World(engines=8)
-    world.engines[0].answers_orders = False
-    assert world.submit(HUGE, goal_ms=60_000) == WHOLE
-    world.wait_free()
+def test_engine_that_does_not_answer_orders_is_not_used():
+    harness = ForwardingHarness(engines=8)
+    harness.engines[0].answers_orders = False
+    assert harness.submit(HUGE, goal_ms=60_000) == COMPLETE_STREAM
+    harness.wait_until_released()
