--- a/crankchute/platform/requests.py
+++ b/crankchute/platform/requests.py
@@ -1,4 +1,4 @@
-"""A caller's request, decoded and checked, as a job for the core."""
+"""Parses and validates callers' requests into jobs for the core."""
 
 from http import HTTPStatus
 
@@ -16,24 +16,23 @@
     drop_connection_headers,
 )
 
-_BEARER = 'bearer '
-_LARGEST_ID = 200
-#: When a proof of the configuration is looked for anew, in milliseconds.  With
-#: hints as long as the outage had lasted the callers of its last three seconds
-#: came back at once with new ones: 156 of 260 first events were late (worth of a
-#: day with an outage of 8 s 0.82 to 0.75, means of three plays).
-_PROOF_MS = 1000
-#: What a caller without a deadline is taken to wait, in milliseconds.
-_LONGEST_WAIT_MS = 10_000
+_BEARER_PREFIX = 'bearer '
+_MAX_REQUEST_ID_LENGTH = 200
+#: Expected time until the configuration is known to be current again, for
+#: Retry-After.  It does not grow with the length of an outage: longer delays
+#: make many callers return at the same time as new ones.
+_CONFIG_PROOF_RETRY_MS = 1000
+#: The longest time that a caller is assumed to wait, also without a deadline.
+_MAX_CALLER_WAIT_MS = 10_000
 
 
 class RequestPayload:
-    """What is sent to a backend server, and never looked at by the core.
+    """The request that is forwarded to a backend server; opaque to the core.
 
     Attributes:
-      method: The method.
-      target: Path and query as the caller sent them.
-      headers: The caller's headers that are passed on, pairs of strings.
+      method: The HTTP method.
+      target: The path and query as received.
+      headers: The headers to forward, pairs of strings.
       body: Bytes.
     """
 
@@ -55,10 +54,10 @@
 
 
 class RequestReader:
-    """Checks requests against the configuration in force.
+    """Validates requests against the current configuration.
 
     Attributes:
-      admission: The KeyAdmission in force.
+      admission: The current KeyAdmission.
     """
 
     def __init__(self, holder, clock, admission, hints):
@@ -76,26 +75,26 @@
         self.admission = admission
 
     def read(self, exchange):
-        """Return the job of a request.
+        """Parse a request into a job.
 
         Args:
           exchange: A ForwardExchange.
         Returns:
           A ForwardJob.
         Raises:
-          RequestRefused: If it is refused; it has not run.
+          RequestRefused: If the request is refused; it has not been sent.
         """
         config = self._holder.config
         if config is None:
-            raise self._refuse_for_now('no_config', exchange)
+            raise self._refuse_unavailable('no_config', exchange)
         request_id = exchange.header(REQUEST_ID)
-        if not request_id or len(request_id) > _LARGEST_ID:
+        if not request_id or len(request_id) > _MAX_REQUEST_ID_LENGTH:
             raise _bad_request('the request id is missing or too long')
         route = self._find_route(config, exchange)
-        owner = self._check_key(config, route, exchange)
+        owner = self._authenticate(config, route, exchange)
         pool = route.choose_pool(request_id)
         if pool is None:
-            raise self._refuse_for_now('no_pool', exchange)
+            raise self._refuse_unavailable('no_pool', exchange)
         return self._make_job(exchange, request_id, route, owner, pool)
 
     def _find_route(self, config, exchange):
@@ -109,19 +108,19 @@
             )
         return route
 
-    def _check_key(self, config, route, exchange):
-        """Return the KeyOwner of a request, or None if it needs none."""
+    def _authenticate(self, config, route, exchange):
+        """Return the KeyOwner of a request, or None if no key is required."""
         if config.keys is None:
             return None
-        owner = config.keys.get(_read_key(exchange))
+        owner = config.keys.get(_parse_bearer_key(exchange))
         if route.is_open:
             return owner
         age_ms = self._holder.proof_age_ms(self._clock.now_ms())
         if not self.admission.allows(age_ms):
-            raise self._refuse_for_now(
+            raise self._refuse_unavailable(
                 'config_not_proved',
                 exchange,
-                _PROOF_MS,
+                _CONFIG_PROOF_RETRY_MS,
             )
         if owner is None:
             raise RequestRefused(
@@ -131,8 +130,8 @@
             )
         return owner
 
-    def _refuse_for_now(self, code, exchange, recovery_ms=None):
-        remaining_ms = min(_read_deadline_ms(exchange), _LONGEST_WAIT_MS)
+    def _refuse_unavailable(self, code, exchange, recovery_ms=None):
+        remaining_ms = min(_parse_deadline_ms(exchange), _MAX_CALLER_WAIT_MS)
         return RequestRefused(
             HTTPStatus.SERVICE_UNAVAILABLE,
             code,
@@ -141,50 +140,50 @@
         )
 
     def _make_job(self, exchange, request_id, route, owner, pool):
-        allowed_ms = min(_read_deadline_ms(exchange), route.timeout_ms)
+        allowed_ms = min(_parse_deadline_ms(exchange), route.timeout_ms)
         priority = route.priority
         if owner is not None and owner.priority is not None:
             priority = owner.priority
         account = None if owner is None else owner.account
         return ForwardJob(
             request_id=request_id,
-            fingerprint=_make_fingerprint(exchange, account),
+            fingerprint=_compute_fingerprint(exchange, account),
             pool=pool,
             repeat=route.repeat,
             is_stream=route.is_stream,
             is_keyed=owner is not None,
             account=account,
-            size=_read_size(exchange) or self._guess_size(pool),
+            size=_parse_token_usage(exchange) or self._default_size(pool),
             priority=priority,
             arrived_ms=exchange.arrived_ms,
             deadline_ms=exchange.arrived_ms + allowed_ms,
             goal_ms=route.goal_ms,
             gap_ms=route.gap_ms,
             max_attempts=route.max_attempts,
-            resume_after=_read_last_event(exchange),
-            payload=_read_payload(exchange),
+            resume_after=_parse_last_event_id(exchange),
+            payload=_build_payload(exchange),
         )
 
-    def _guess_size(self, pool):
+    def _default_size(self, pool):
         """Return the usual PromptSize of a pool, or None for plain services.
 
-        A prompt of which no size is told can be placed by nothing else.
+        Engines are chosen by prompt size, also for requests without one.
         """
-        found = self._holder.config.pools.get(pool)
-        if found is None or found.figures is None:
+        pool_config = self._holder.config.pools.get(pool)
+        if pool_config is None or pool_config.figures is None:
             return None
-        usual = found.figures
-        return PromptSize(usual.usual_prompt, usual.usual_answer)
+        figures = pool_config.figures
+        return PromptSize(figures.usual_prompt, figures.usual_answer)
 
 
-def _read_key(exchange):
+def _parse_bearer_key(exchange):
     text = exchange.header(AUTHORIZATION) or ''
-    if text[: len(_BEARER)].lower() != _BEARER:
+    if text[: len(_BEARER_PREFIX)].lower() != _BEARER_PREFIX:
         return None
-    return text[len(_BEARER) :].strip()
+    return text[len(_BEARER_PREFIX) :].strip()
 
 
-def _read_deadline_ms(exchange):
+def _parse_deadline_ms(exchange):
     text = exchange.header(DEADLINE_MS)
     if text is None:
         return float('inf')
@@ -194,13 +193,13 @@
         raise _bad_request('the deadline is no number') from exc
 
 
-def _read_last_event(exchange):
+def _parse_last_event_id(exchange):
     text = exchange.header(LAST_EVENT)
     return int(text) if text and text.isdecimal() else None
 
 
-def _read_size(exchange):
-    """Return the PromptSize that a request names, or None."""
+def _parse_token_usage(exchange):
+    """Return the PromptSize in a request's headers, or None."""
     text = exchange.header(TOKEN_USAGE)
     if text is None:
         return None
@@ -210,7 +209,7 @@
     return PromptSize(int(prompt), int(answer))
 
 
-def _read_payload(exchange):
+def _build_payload(exchange):
     headers = [
         (name, text)
         for name, text in drop_connection_headers(exchange.headers)
@@ -224,10 +223,11 @@
     )
 
 
-def _make_fingerprint(exchange, account):
-    """Return what all submissions of a request have in common.
+def _compute_fingerprint(exchange, account):
+    """Return a hash that is the same for all submissions of a request.
 
-    Headers differ from one submission to the next: ids, deadlines, events.
+    It leaves out headers, since ids, deadlines and last events differ between
+    submissions.
     """
     target = f'{exchange.method} {exchange.header(HOST)} {exchange.target}'
     return make_fingerprint(
--- a/crankchute/platform/requests_test.py
+++ b/crankchute/platform/requests_test.py
@@ -1,4 +1,4 @@
-"""Tests of checking callers' requests against the configuration."""
+"""Tests of parsing and validating callers' requests."""
 
 import random
 
@@ -19,23 +19,25 @@
 from crankchute.errors import RequestRefused
 from crankchute.platform.requests import RequestReader
 
-_PROOF_MS = 4000
-_KEY = 'Bearer key-1'
+_MAX_PROOF_AGE_MS = 4000
+_AUTHORIZATION = 'Bearer key-1'
 
 
 class FakeExchange:
-    """A request as the server hands it over."""
+    """A minimal ForwardExchange."""
 
     def __init__(self, **headers):
-        chosen = {
+        merged_headers = {
             'host': 'a.example',
             'x-crankchute-request-id': 'r1',
-            'authorization': _KEY,
+            'authorization': _AUTHORIZATION,
             'x-crankchute-deadline-ms': '900',
         }
-        for given, told in headers.items():
-            chosen[given.replace('_', '-')] = told
-        self.headers = [pair for pair in chosen.items() if pair[1] is not None]
+        for name, text in headers.items():
+            merged_headers[name.replace('_', '-')] = text
+        self.headers = [
+            pair for pair in merged_headers.items() if pair[1] is not None
+        ]
         self.method = 'POST'
         self.target = '/p/x?y=1'
         self.body = b'body'
@@ -62,11 +64,16 @@
     )
 
 
-class World:
-    """A reader over one configuration."""
+class ReaderHarness:
+    """A RequestReader with one configuration."""
 
     def __init__(
-        self, *, keys=True, config=True, proof_ms=_PROOF_MS, engines=False
+        self,
+        *,
+        keys=True,
+        config=True,
+        proof_ms=_MAX_PROOF_AGE_MS,
+        engines=False,
     ):
         self.clock = ManualClock()
         self.holder = ForwardConfigHolder()
@@ -81,10 +88,10 @@
         }
         pools = [PoolConfig('pool', 8, make_figures() if engines else None)]
         if config:
-            found = ForwardConfig(
+            forward_config = ForwardConfig(
                 1, routes, pools, keys=owners if keys else None
             )
-            self.holder.offer(found, b'')
+            self.holder.offer(forward_config, b'')
             self.holder.prove(1, 0)
         admission = KeyAdmission(proof_ms)
         self.reader = RequestReader(
@@ -94,7 +101,7 @@
             ReturnHints(random.Random(1)),
         )
 
-    def refuse(self, exchange):
+    def read_refused(self, exchange):
         try:
             self.reader.read(exchange)
         except RequestRefused as refusal:
@@ -102,8 +109,8 @@
         return None
 
 
-def test_job_of_a_request():
-    job = World().reader.read(
+def test_request_is_parsed_into_a_job():
+    job = ReaderHarness().reader.read(
         FakeExchange(
             last_event_id='7',
             x_crankchute_token_usage='4960,1500',
@@ -132,9 +139,9 @@
     ('deadline', 'expected_ms'),
     [('900', 1000), ('99999', 2100), (None, 2100)],
 )
-def test_deadline_is_the_sooner_of_two(deadline, expected_ms):
+def test_deadline_is_the_earlier_of_caller_and_route(deadline, expected_ms):
     exchange = FakeExchange(x_crankchute_deadline_ms=deadline)
-    assert World().reader.read(exchange).deadline_ms == expected_ms
+    assert ReaderHarness().reader.read(exchange).deadline_ms == expected_ms
 
 
 @pytest.mark.parametrize(
@@ -152,72 +159,74 @@
         ({'x_crankchute_token_usage': '-5,2'}, 400),
     ],
 )
-def test_refusals(headers, status):
-    assert World().refuse(FakeExchange(**headers))[0] == status
+def test_invalid_request_is_refused(headers, status):
+    assert ReaderHarness().read_refused(FakeExchange(**headers))[0] == status
 
 
-def test_without_a_configuration_nothing_is_denied():
+def test_request_without_a_configuration_gets_retry_after():
     exchange = FakeExchange(x_crankchute_deadline_ms='10000')
-    status, retry_after_ms = World(config=False).refuse(exchange)
+    status, retry_after_ms = ReaderHarness(config=False).read_refused(exchange)
     assert status == 503
-    # Long enough that the caller's next try is not in vain too.
+    # A shorter delay would make the caller's next attempt fail too.
     assert 1500 <= retry_after_ms <= 2500
 
 
 @pytest.mark.parametrize(
     ('age_ms', 'is_refused'),
-    [(0, False), (_PROOF_MS, False), (_PROOF_MS + 1, True)],
+    [(0, False), (_MAX_PROOF_AGE_MS, False), (_MAX_PROOF_AGE_MS + 1, True)],
 )
-def test_keys_need_a_fresh_proof(age_ms, is_refused):
-    world = World()
-    world.clock.time_ms = age_ms
+def test_key_check_requires_a_recently_verified_configuration(
+    age_ms, is_refused
+):
+    harness = ReaderHarness()
+    harness.clock.time_ms = age_ms
     if is_refused:
-        status, retry_after_ms = world.refuse(FakeExchange())
+        status, retry_after_ms = harness.read_refused(FakeExchange())
         assert status == 503
         assert retry_after_ms > 0
     else:
-        assert world.reader.read(FakeExchange()).account == 'acc'
+        assert harness.reader.read(FakeExchange()).account == 'acc'
 
 
-def test_where_revocation_is_not_strict_the_last_configuration_serves():
-    world = World(proof_ms=None)
-    world.clock.time_ms = 60_000
-    assert world.reader.read(FakeExchange()).account == 'acc'
+def test_last_configuration_is_used_without_strict_revocation():
+    harness = ReaderHarness(proof_ms=None)
+    harness.clock.time_ms = 60_000
+    assert harness.reader.read(FakeExchange()).account == 'acc'
     unknown = FakeExchange(authorization='Bearer key-2')
-    assert world.refuse(unknown)[0] == 401
+    assert harness.read_refused(unknown)[0] == 401
 
 
 @pytest.mark.parametrize(
     ('key', 'account'),
-    [(_KEY, 'acc'), ('Bearer key-2', None), (None, None)],
+    [(_AUTHORIZATION, 'acc'), ('Bearer key-2', None), (None, None)],
 )
-def test_open_routes_need_neither_key_nor_proof(key, account):
-    world = World()
-    world.clock.time_ms = 60_000
+def test_open_route_requires_neither_key_nor_proof(key, account):
+    harness = ReaderHarness()
+    harness.clock.time_ms = 60_000
     exchange = FakeExchange(authorization=key)
     exchange.target = '/open/x'
-    assert world.reader.read(exchange).account == account
+    assert harness.reader.read(exchange).account == account
 
 
-def test_without_accounts_no_key_is_asked_for():
+def test_no_key_is_required_without_accounts():
     exchange = FakeExchange(authorization=None)
-    assert World(keys=False).reader.read(exchange).account is None
+    assert ReaderHarness(keys=False).reader.read(exchange).account is None
 
 
 @pytest.mark.parametrize(
-    ('engines', 'told', 'prompt'),
+    ('engines', 'token_usage', 'prompt'),
     [
         (True, '1460,80', 1460),
-        # Engines are chosen by size, so an untold one is the usual.
+        # Engines are chosen by size; the default is the pool's usual size.
         (True, None, 9000),
         (False, '1460,80', 1460),
         (False, None, None),
     ],
 )
-def test_size_of_a_prompt(engines, told, prompt):
-    world = World(engines=engines)
-    exchange = FakeExchange(x_crankchute_token_usage=told)
-    size = world.reader.read(exchange).size
+def test_prompt_size(engines, token_usage, prompt):
+    harness = ReaderHarness(engines=engines)
+    exchange = FakeExchange(x_crankchute_token_usage=token_usage)
+    size = harness.reader.read(exchange).size
     assert (size and size.prompt) == prompt
 
 
@@ -234,12 +243,12 @@
         ({}, {'target': '/p/x?y=', 'body': b'1body'}, False),
     ],
 )
-def test_all_submissions_of_a_request_have_one_fingerprint(
+def test_fingerprint_is_equal_for_submissions_of_one_request(
     headers, changes, is_same
 ):
-    reader = World().reader
-    again = FakeExchange(**headers)
-    for name, told in changes.items():
-        setattr(again, name, told)
-    first = reader.read(FakeExchange()).fingerprint
-    assert (reader.read(again).fingerprint == first) == is_same
+    reader = ReaderHarness().reader
+    repeated = FakeExchange(**headers)
+    for name, text in changes.items():
+        setattr(repeated, name, text)
+    expected = reader.read(FakeExchange()).fingerprint
+    assert (reader.read(repeated).fingerprint == expected) == is_same
