--- a/crankchute/platform/server_entries.py
+++ b/crankchute/platform/server_entries.py
@@ -1,7 +1,7 @@
-"""The backend servers' entries in the platform's store, decoded.
+"""Parses the backend servers' entries in the store.
 
-Anybody may write there.  What is not an entry as the platform's pages describe
-it names no server, and says nothing of the other entries.
+The store does not validate what is written there.  An invalid entry is refused
+by itself and does not affect the others.
 """
 
 import re
@@ -12,48 +12,50 @@
 from crankchute.core.fleet import LEAVING, LIVE, Listed, parse_address
 from crankchute.errors import ConfigError, Finding
 
-#: The label of a backend server that names its pool.
+#: The label that holds the name of a backend server's pool.
 POOL_LABEL = 'pool'
 BACKEND_KIND = 'backend'
-#: Longer entries are not read, in bytes: those of servers have some 250, and
-#: the store takes a million, which takes a small instance 10 ms to decode.
-_LONGEST = 65_536
-#: An id goes into headers and logs as it is.
-_IDENTITY = re.compile('[!-~]{1,200}')
-_HIGHEST_PORT = 65_535
+#: Longer entries are refused unread: decoding one of the largest size that the
+#: store accepts would block the event loop for milliseconds.
+_MAX_ENTRY_BYTES = 65_536
+#: Ids are written to headers and logs without escaping.
+_SERVER_ID = re.compile('[!-~]{1,200}')
+_MAX_PORT = 65_535
 _STATES = {'ready': LIVE, 'draining': LEAVING}  # noqa: WPS407  (a table)
 
 
 def read_server(identity, payload):
-    """Return a backend server's entry.
+    """Parse a backend server's entry.
 
     Args:
-      identity: The id under which the entry stands, the last part of its key.
+      identity: The server's id, the last part of the entry's key.
       payload: The bytes of the entry.
     Returns:
       A Listed.
     Raises:
-      ConfigError: If it is no entry of a server.
+      ConfigError: If the id or the entry is invalid.
     """
     try:
-        return _read_entry(identity, payload)
+        return _parse_entry(identity, payload)
     except ValueError as exc:
-        # A key may hold anything, and be long.
-        place = identity if _IDENTITY.fullmatch(identity) else 'servers'
+        # An invalid id may be long or have control characters.
+        place = identity if _SERVER_ID.fullmatch(identity) else 'servers'
         raise ConfigError([Finding(place, str(exc))]) from exc
 
 
-def _read_entry(identity, payload):
-    if not _IDENTITY.fullmatch(identity):
-        raise ValueError('the id is no name')
-    if len(payload) > _LONGEST:
-        raise ValueError('it is too long')
+def _parse_entry(identity, payload):
+    if not _SERVER_ID.fullmatch(identity):
+        raise ValueError(
+            'server id is empty, too long or has invalid characters'
+        )
+    if len(payload) > _MAX_ENTRY_BYTES:
+        raise ValueError('entry is too long')
     document = orjson.loads(payload)
     if not isinstance(document, dict):
-        raise ValueError('it is no map')
-    wrong = _find_wrong(document)
-    if wrong is not None:
-        raise ValueError(f'{wrong} is missing or not as it should be')
+        raise ValueError('entry is not a JSON object')
+    invalid_field = _find_invalid_field(document)
+    if invalid_field is not None:
+        raise ValueError(f'{invalid_field} is missing or invalid')
     return Listed(
         {
             'id': identity,
@@ -67,55 +69,55 @@
     )
 
 
-def _find_wrong(document):
-    """Return the name of a field that no server writes so, or None."""
-    for name, is_right in _FIELDS.items():
-        if name not in document or not is_right(document[name]):
+def _find_invalid_field(document):
+    """Return the name of a missing or invalid field, or None."""
+    for name, is_valid in _FIELD_CHECKS.items():
+        if name not in document or not is_valid(document[name]):
             return name
-    if 'born' in document and not _is_count(document['born']):
+    if 'born' in document and not _is_non_negative_int(document['born']):
         return 'born'
     return None
 
 
-def _is_name(found):
-    return isinstance(found, str) and bool(found)
+def _is_non_empty_string(candidate):
+    return isinstance(candidate, str) and bool(candidate)
 
 
-def _is_count(found):
-    return type(found) is int and found >= 0  # noqa: WPS516  (no bool)
+def _is_non_negative_int(candidate):
+    return type(candidate) is int and candidate >= 0  # noqa: WPS516  (no bool)
 
 
-def _is_duration(found):
-    if isinstance(found, bool) or not isinstance(found, (int, float)):
+def _is_duration(candidate):
+    if isinstance(candidate, bool) or not isinstance(candidate, (int, float)):
         return False
-    return found >= 0
+    return candidate >= 0
 
 
-def _is_address(found):
-    """Tell whether something is "IP:port"."""
-    if not isinstance(found, str):
+def _is_address(candidate):
+    """Return whether a value is an "IP:port" string with an IPv4 address."""
+    if not isinstance(candidate, str):
         return False
     try:
-        host, port = parse_address(found)
-        # A third of the time that ipaddress.ip_address takes.
+        host, port = parse_address(candidate)
+        # Faster than ipaddress.ip_address.
         socket.inet_pton(socket.AF_INET, host)
     except (ValueError, OSError):
         return False
-    return 0 < port <= _HIGHEST_PORT
+    return 0 < port <= _MAX_PORT
 
 
-def _is_state(found):
-    return isinstance(found, str) and found in _STATES
+def _is_state(candidate):
+    return isinstance(candidate, str) and candidate in _STATES
 
 
-#: What each field of an entry has to be; servers write all of them.
-_FIELDS = {  # noqa: WPS407  (a table)
-    'service': _is_name,
+#: The check of each required field of an entry.
+_FIELD_CHECKS = {  # noqa: WPS407  (a table)
+    'service': _is_non_empty_string,
     'address': _is_address,
-    'zone': _is_name,
-    'version': _is_name,
-    'slots': _is_count,
+    'zone': _is_non_empty_string,
+    'version': _is_non_empty_string,
+    'slots': _is_non_negative_int,
     'state': _is_state,
     'cold-remaining-ms': _is_duration,
-    'sequence': _is_count,
+    'sequence': _is_non_negative_int,
 }
--- a/crankchute/platform/server_entries_test.py
+++ b/crankchute/platform/server_entries_test.py
@@ -1,4 +1,4 @@
-"""Tests of reading servers' entries, whoever wrote them."""
+"""Tests of parsing servers' entries in the store."""
 
 from types import MappingProxyType
 
@@ -34,7 +34,7 @@
     ('state', 'expected'),
     [('ready', LIVE), ('draining', LEAVING)],
 )
-def test_entry_of_a_server(state, expected):
+def test_valid_entry(state, expected):
     listed = read_server('i-1', write_entry(state=state, models=[]))
     assert listed.identity == 'i-1'
     assert listed.address == ('10.0.0.1', 80)
@@ -42,27 +42,27 @@
     assert listed.born is None
 
 
-def test_start_is_a_part_of_what_a_server_is_known_by():
+def test_identity_includes_the_start_time():
     first = read_server('i-1', write_entry(born=BORN))
-    again = read_server('i-1', write_entry(born=BORN + 1))
-    assert first.listed_id == again.listed_id == 'i-1'
-    assert first.identity != again.identity
-    assert first.is_older(again)
-    assert not again.is_older(first)
+    restarted = read_server('i-1', write_entry(born=BORN + 1))
+    assert first.listed_id == restarted.listed_id == 'i-1'
+    assert first.identity != restarted.identity
+    assert first.is_older(restarted)
+    assert not restarted.is_older(first)
 
 
 @pytest.mark.parametrize('name', sorted(ENTRY))
-def test_entry_that_lacks_a_field_names_no_server(name):
+def test_entry_without_a_required_field_is_refused(name):
     document = {**ENTRY}
     document.pop(name)
-    with pytest.raises(ConfigError) as caught:
+    with pytest.raises(ConfigError) as exc_info:
         read_server('i-1', orjson.dumps(document))
-    assert caught.value.findings[0].place == 'i-1'
-    assert name in caught.value.findings[0].text
+    assert exc_info.value.findings[0].place == 'i-1'
+    assert name in exc_info.value.findings[0].text
 
 
 @pytest.mark.parametrize(
-    ('name', 'wrong'),
+    ('name', 'invalid'),
     [
         *((name, None) for name in sorted(ENTRY)),
         *((name, []) for name in sorted(ENTRY)),
@@ -95,9 +95,9 @@
         ('born', True),
     ],
 )
-def test_entry_with_a_wrong_field_names_no_server(name, wrong):
+def test_entry_with_an_invalid_field_is_refused(name, invalid):
     with pytest.raises(ConfigError):
-        read_server('i-1', write_entry(**{name: wrong}))
+        read_server('i-1', write_entry(**{name: invalid}))
 
 
 @pytest.mark.parametrize(
@@ -116,56 +116,56 @@
         b' ' * 3_000_000,
     ],
 )
-def test_bytes_that_are_no_entry_name_no_server(payload):
-    with pytest.raises(ConfigError) as caught:
+def test_malformed_entry_is_refused_with_a_short_message(payload):
+    with pytest.raises(ConfigError) as exc_info:
         read_server('i-1', payload)
-    assert len(str(caught.value)) < 200
+    assert len(str(exc_info.value)) < 200
 
 
 @pytest.mark.parametrize(
     'identity',
     ['', 'a b', 'a\r\nX-Header: y', 'ü', 'x' * 201],
 )
-def test_key_that_is_no_name_names_no_server(identity):
-    with pytest.raises(ConfigError) as caught:
+def test_invalid_server_id_is_refused(identity):
+    with pytest.raises(ConfigError) as exc_info:
         read_server(identity, write_entry())
-    assert caught.value.findings[0].place == 'servers'
+    assert exc_info.value.findings[0].place == 'servers'
 
 
-texts = st.text('a0:.-\r\u00fc', max_size=6)
-plain_values = st.one_of(
+text_values = st.text('a0:.-\r\u00fc', max_size=6)
+scalar_values = st.one_of(
     st.none(),
     st.booleans(),
     st.integers(-9, 2**60),
     st.floats(),
-    texts,
+    text_values,
 )
 json_values = st.one_of(
-    plain_values,
-    st.lists(plain_values, max_size=2),
-    st.dictionaries(texts, plain_values, max_size=2),
+    scalar_values,
+    st.lists(scalar_values, max_size=2),
+    st.dictionaries(text_values, scalar_values, max_size=2),
 )
-# The time of the first example is that of building the strategies.
-calm = settings(
+# No deadline, since the first example includes building the strategies.
+property_settings = settings(
     deadline=None,
     derandomize=True,
     suppress_health_check=[HealthCheck.too_slow],
 )
 
 
-@calm
+@property_settings
 @given(
     changes=st.dictionaries(
         st.sampled_from([*ENTRY, 'born', 'stage', 'else']),
         json_values,
         max_size=3,
     ),
-    lost=st.sets(st.sampled_from(sorted(ENTRY)), max_size=2),
+    missing=st.sets(st.sampled_from(sorted(ENTRY)), max_size=2),
 )
-def test_whatever_is_written_is_a_server_or_a_finding(changes, lost):
-    """What is taken can be used as it is: no other type gets through."""
+def test_random_changes_give_a_valid_server_or_a_finding(changes, missing):
+    """Each field of an accepted entry has the type that the core expects."""
     document = {**ENTRY, **changes}
-    for name in lost:
+    for name in missing:
         document.pop(name)
     try:
         listed = read_server('i-1', orjson.dumps(document))
@@ -180,8 +180,8 @@
     assert listed.born is None or listed.born >= 0
 
 
-@calm
+@property_settings
 @given(payload=st.binary(max_size=300))
-def test_any_bytes_are_a_server_or_a_finding(payload):
+def test_random_bytes_are_refused(payload):
     with pytest.raises(ConfigError):
         read_server('i-1', payload)
