--- a/crankchute/platform/ending_requests_test.py
+++ b/crankchute/platform/ending_requests_test.py
@@ -1,18 +1,7 @@
-"""Tests of a request under which servers end, wherever it comes.
+"""Tests that a request that crashes servers is not sent to further ones.
 
-A request ended the process of each engine that began to run it.  Every instance
-took each of its submissions for a new request: the end was put to the engine's
-account alone, and the request went to the next one, again and again.  In the
-log of one instance, 165 ms apart, before the caller was told to try again:
-
-    attempt_end server=i-73a5313c7e cause=the connection was closed first_ms=None
-    attempt_end server=i-7dd1240e8c cause=the connection was closed first_ms=None
-
-Two more engines ended at the instance to which the caller came next, and so on
-for half a minute: 20 ends of engines by the first such request and 29 by the
-second, with the answers of thirteen other prompts broken off within 1.2 s.
-
-Whole instances run here on one loop, with engines that speak the wire.
+Without this, each retry and each new submission crashes another engine, which
+also breaks off the responses of other requests.
 """
 
 import pytest
@@ -21,35 +10,38 @@
 from crankchute.core.outcomes import Outcome
 from crankchute.platform.standin_world import StandinWorld
 
-#: Within this time all instances know what one of them learnt (the users' rule).
-_CONTACT_MS = 3000
-#: So many more servers such a request may reach after that (the same rule).
-_MOST_AFTER = 3
-_ENDS = b'ends what runs it'
-_SOUND = b'sound'
+#: A required limit: the time until all instances know what one has learnt.
+_PROPAGATION_MS = 3000
+#: A required limit: how many more servers may crash after that time.
+_MAX_FURTHER_CRASHES = 3
+_CRASHING_BODY = b'ends what runs it'
+_HARMLESS_BODY = b'sound'
 
 
-class World(StandinWorld):
-    """Instances, and engines that end under one kind of request."""
+class CrashingCluster(StandinWorld):
+    """Instances, and engines that crash on one kind of request."""
 
     @property
-    def ended(self):
-        """How many engines have ended."""
-        return sum(not one.is_up for one in self.engines)
+    def crash_count(self):
+        """How many engines have crashed, an int."""
+        return sum(not engine.is_up for engine in self.engines)
 
     def start_engine(self):
-        """Start an engine that ends under such a request."""
+        """Start an engine that crashes on such a request."""
         engine = super().start_engine()
-        engine.ends_on.add(_ENDS)
+        engine.ends_on.add(_CRASHING_BODY)
         return engine
 
-    def end_three(self, **fields):
-        """Submit the request until three engines have ended; tell others."""
+    def crash_three_engines(self, **fields):
+        """Submit the request until three engines have crashed.
+
+        Afterwards wait until the other instances know.
+        """
         turn = 0
-        while self.ended < 3:
-            self.ask(self.nodes[turn % 2], _ENDS, **fields)
+        while self.crash_count < 3:
+            self.ask(self.nodes[turn % 2], _CRASHING_BODY, **fields)
             turn += 1
-        self.wait(_CONTACT_MS)
+        self.wait(_PROPAGATION_MS)
 
 
 @pytest.mark.parametrize(
@@ -60,19 +52,19 @@
         {'repeat': Repeat.ONCE},
     ],
 )
-def test_request_that_ended_three_servers_is_held_everywhere(fields):
-    """Also at an instance that has just started, and at the one asked least."""
-    world = World()
-    world.end_three(**fields)
-    before = world.ended
-    late = world.start_instance()
-    world.wait(_CONTACT_MS)
-    for node in (*world.nodes, late):
+def test_request_that_crashed_three_servers_is_refused_by_all_instances(fields):
+    """This includes instances that start later or got no such request."""
+    cluster = CrashingCluster()
+    cluster.crash_three_engines(**fields)
+    before = cluster.crash_count
+    new_node = cluster.start_instance()
+    cluster.wait(_PROPAGATION_MS)
+    for node in (*cluster.nodes, new_node):
         for _ in range(2):
-            world.ask(node, _ENDS, **fields)
-    assert world.ended - before <= _MOST_AFTER
-    assert world.ask(world.nodes[2], _ENDS, **fields) == (
+            cluster.ask(node, _CRASHING_BODY, **fields)
+    assert cluster.crash_count - before <= _MAX_FURTHER_CRASHES
+    assert cluster.ask(cluster.nodes[2], _CRASHING_BODY, **fields) == (
         'refused',
         Outcome.NOT_RUN,
     )
-    assert world.ask(world.nodes[2], _SOUND) == ('end', None)
+    assert cluster.ask(cluster.nodes[2], _HARMLESS_BODY) == ('end', None)
