--- a/crankchute/platform/resting_servers_test.py
+++ b/crankchute/platform/resting_servers_test.py
@@ -1,13 +1,7 @@
-"""Tests of servers that want rest.
+"""Tests of servers that send Retry-After with a 503.
 
-An engine that was overrun turned requests away with a 503 and asked for 3 s of
-rest.  It seemed idle, since nothing of ours ran there, so it was chosen again
-and again, 14 times in those 3 s:
-
-    6.747 attempt_end server=i-d5aabd95e7 cause=full after_ms=1.4
-
-With two such engines 20 of 62 short prompts were refused while 16 engines had
-room.  Whole instances run here, with servers that speak the wire.
+Such a server has no running requests and so seems idle; it must not be chosen
+again before the delay is over.
 """
 
 import pytest
@@ -26,67 +20,67 @@
 
 
 @pytest.mark.parametrize('is_plain', [False, True])
-def test_server_that_wants_rest_gets_nothing_while_others_have_room(is_plain):
-    """Nor is anybody refused for it."""
-    world = StandinWorld(instances=1, engines=3, is_plain=is_plain)
-    engine = world.engines[0]
+def test_resting_server_gets_no_requests(is_plain):
+    """No request is refused while other servers have capacity."""
+    cluster = StandinWorld(instances=1, engines=3, is_plain=is_plain)
+    engine = cluster.engines[0]
     engine.rest = '600'
-    ask_for_work(world, engine)
+    ask_for_work(cluster, engine)
     before = engine.arrivals
-    assert set(ask_often(world, world.nodes[0])) <= ANSWERED
+    assert set(ask_often(cluster, cluster.nodes[0])) <= ANSWERED
     assert engine.arrivals == before
 
 
 @pytest.mark.parametrize('is_plain', [False, True])
-def test_who_cannot_be_served_for_rest_is_refused_at_once(is_plain):
-    """Before it is sent, and is told when the first server is back."""
-    world = StandinWorld(instances=1, engines=2, is_plain=is_plain)
+def test_request_is_refused_while_all_servers_rest(is_plain):
+    """It is not sent; its Retry-After tells when the first server is back."""
+    cluster = StandinWorld(instances=1, engines=2, is_plain=is_plain)
     for number, rest in enumerate(('600', '20')):
-        world.engines[number].rest = rest
-    assert set(ask_often(world, world.nodes[0])) == {'refused'}
-    before = [one.arrivals for one in world.engines]
-    sink, finish = world.submit(world.nodes[0], SOUND)
+        cluster.engines[number].rest = rest
+    assert set(ask_often(cluster, cluster.nodes[0])) == {'refused'}
+    before = [engine.arrivals for engine in cluster.engines]
+    sink, finish = cluster.submit(cluster.nodes[0], SOUND)
     assert finish() == ('refused', Outcome.NOT_RUN)
-    assert [one.arrivals for one in world.engines] == before
+    assert [engine.arrivals for engine in cluster.engines] == before
     assert 15_000 < sink.hint_ms <= 20_000 * 1.25
 
 
 @pytest.mark.parametrize('ask', [ask_for_memory, ask_for_report])
-def test_rest_that_is_asked_for_in_other_answers_counts_too(ask):
-    world = StandinWorld(instances=1, engines=3)
-    engine = world.engines[0]
+def test_retry_after_is_read_from_orders_and_reports(ask):
+    cluster = StandinWorld(instances=1, engines=3)
+    engine = cluster.engines[0]
     engine.rest = '600'
-    ask(world, engine)
+    ask(cluster, engine)
     before = engine.arrivals
-    assert set(ask_often(world, world.nodes[0])) <= ANSWERED
+    assert set(ask_often(cluster, cluster.nodes[0])) <= ANSWERED
     assert engine.arrivals == before
 
 
 @pytest.mark.parametrize('rest', ['0', 'soon', '-3', ''])
-def test_hint_that_asks_for_no_rest_keeps_nobody_away(rest):
-    """What is no number is not taken for one."""
-    world = StandinWorld(instances=1, engines=1)
-    engine = world.engines[0]
+def test_zero_or_invalid_retry_after_is_ignored(rest):
+    """The server is used again for the next request."""
+    cluster = StandinWorld(instances=1, engines=1)
+    engine = cluster.engines[0]
     engine.rest = rest
-    ask_for_work(world, engine)
+    ask_for_work(cluster, engine)
     engine.rest = None
-    assert world.ask(world.nodes[0], SOUND) == ('end', None)
+    assert cluster.ask(cluster.nodes[0], SOUND) == ('end', None)
 
 
-def test_rest_is_over_with_the_start_that_asked_for_it():
-    """Nor does it end with the server's entry, which may lapse and be back."""
-    world = StandinWorld(instances=1, engines=2)
-    engine = world.engines[0]
+def test_rest_ends_with_a_server_restart():
+    """It outlasts a lapse of the server's entry in the store."""
+    cluster = StandinWorld(instances=1, engines=2)
+    engine = cluster.engines[0]
     engine.rest = '600'
-    ask_for_work(world, engine)
+    ask_for_work(cluster, engine)
     before = engine.arrivals
-    fleet = world.nodes[0].fleet
+    fleet = cluster.nodes[0].fleet
     fleet.remove(engine.identity, may_lapse=False)
     fleet.put(list_engine(engine))
-    ask_often(world, world.nodes[0])
+    ask_often(cluster, cluster.nodes[0])
     assert engine.arrivals == before
     engine.rest = None
     engine.restart()
     fleet.put(list_engine(engine))
-    ask_often(world, world.nodes[0])
+    ask_often(cluster, cluster.nodes[0])
     assert engine.arrivals > before
