--- a/crankchute/platform/statements_test.py
+++ b/crankchute/platform/statements_test.py
@@ -1,8 +1,7 @@
-"""Tests of all that servers and the store state, a row for each cell of a table.
+"""Tests of the table in docs/design/what-servers-state.md.
 
-The table is in docs/design/what-servers-state.md.  Four times a server had said
-something that was gone with its answer; so each statement is looked at in each kind
-of answer, at each instance that must know of it, and before each decision.
+Each notice that a server sends is checked in each kind of response, at each
+instance that must know of it, and for each decision that it affects.
 """
 
 import re
@@ -26,158 +25,168 @@
 )
 
 _TABLE = Path(__file__).parents[2] / 'docs/design/what-servers-state.md'
-_TOLD_MS = 1000
-_REQUESTS = 12
+_PROPAGATION_MS = 1000
+_REQUEST_COUNT = 12
 
 
-def leave(engine):
-    """Let a server say that it leaves."""
+def announce_leaving(engine):
+    """Let a server announce that it shuts down."""
     engine.is_leaving = True
 
 
-def limit(engine):
-    """Let a server name a limit of nothing."""
+def announce_limit(engine):
+    """Let a server set its request limit to zero."""
     engine.limits = ('0',)
 
 
-def rest(engine):
-    """Let a server turn everything away, and want rest."""
+def announce_rest(engine):
+    """Let a server reject all requests with Retry-After."""
     engine.rest = '600'
 
 
-def leave_and_turn_away(engine):
-    """Let a server say that it leaves as it turns everything away."""
+def reject_with_leaving(engine):
+    """Let a server reject all requests and announce that it shuts down."""
     engine.is_leaving = True
     engine.rest = '0'
 
 
-def limit_and_turn_away(engine):
-    """Let a server name a limit as it turns everything away."""
+def reject_with_limit(engine):
+    """Let a server reject all requests and set its limit to zero."""
     engine.limits = ('0',)
     engine.rest = '0'
 
 
-STATEMENTS = (leave, leave_and_turn_away, limit, limit_and_turn_away, rest)
-#: Those that are meant for all instances; a rest is for the one that asked.
-FOR_ALL = STATEMENTS[:-1]
+NOTICES = (
+    announce_leaving,
+    reject_with_leaving,
+    announce_limit,
+    reject_with_limit,
+    announce_rest,
+)
+#: Notices that apply to all instances; Retry-After only applies to the caller.
+SHARED_NOTICES = NOTICES[:-1]
 
 
-def list_reached(engine):
-    """Return what has reached an engine: each request, and memory in use there."""
+def list_received(engine):
+    """Return an engine's request numbers and memory tickets, a set."""
     return {*range(engine.arrivals), *engine.tickets}
 
 
-def make_world(statement, **fields):
-    """Return a world, and its first server, which states something."""
-    world = StandinWorld(**fields)
-    statement(world.engines[0])
-    return world, world.engines[0]
+def make_cluster(notice, **fields):
+    """Return a cluster and its first engine, which sends the notice."""
+    cluster = StandinWorld(**fields)
+    notice(cluster.engines[0])
+    return cluster, cluster.engines[0]
 
 
-@pytest.mark.parametrize('statement', STATEMENTS)
+@pytest.mark.parametrize('notice', NOTICES)
 @pytest.mark.parametrize('ask', [ask_for_work, ask_for_memory, ask_for_report])
-def test_statement_is_heard_in_each_kind_of_answer(statement, ask):
-    world, engine = make_world(statement, instances=1, engines=3)
-    ask(world, engine)
-    before = list_reached(engine)
-    assert set(ask_often(world, world.nodes[0], _REQUESTS)) <= ANSWERED
-    assert list_reached(engine) <= before
+def test_notice_is_read_from_each_kind_of_response(notice, ask):
+    cluster, engine = make_cluster(notice, instances=1, engines=3)
+    ask(cluster, engine)
+    before = list_received(engine)
+    assert set(ask_often(cluster, cluster.nodes[0], _REQUEST_COUNT)) <= ANSWERED
+    assert list_received(engine) <= before
 
 
-@pytest.mark.parametrize('statement', FOR_ALL)
+@pytest.mark.parametrize('notice', SHARED_NOTICES)
 @pytest.mark.parametrize('is_plain', [False, True])
-def test_statement_for_all_reaches_all_instances(statement, is_plain):
-    """Also one that starts later, with messages that are sent anyway."""
-    world, engine = make_world(
-        statement,
+def test_shared_notice_reaches_all_instances(notice, is_plain):
+    """This includes instances that start later."""
+    cluster, engine = make_cluster(
+        notice,
         instances=5,
         engines=3,
         is_plain=is_plain,
     )
-    ask_for_work(world, engine)
-    world.start_instance()
-    world.wait(_TOLD_MS)
-    before = list_reached(engine)
-    for node in world.nodes:
-        assert set(ask_often(world, node, _REQUESTS)) <= ANSWERED
-    assert list_reached(engine) <= before
-
-
-def test_rest_is_for_the_instance_that_asked():
-    """Servers may limit each caller; others have what they have."""
-    world, engine = make_world(rest, instances=2, engines=3, is_plain=True)
-    ask_for_work(world, engine)
-    world.wait(_TOLD_MS)
+    ask_for_work(cluster, engine)
+    cluster.start_instance()
+    cluster.wait(_PROPAGATION_MS)
+    before = list_received(engine)
+    for node in cluster.nodes:
+        assert set(ask_often(cluster, node, _REQUEST_COUNT)) <= ANSWERED
+    assert list_received(engine) <= before
+
+
+def test_rest_applies_only_to_the_instance_that_got_it():
+    """A server may reject one instance's requests and accept others."""
+    cluster, engine = make_cluster(
+        announce_rest, instances=2, engines=3, is_plain=True
+    )
+    ask_for_work(cluster, engine)
+    cluster.wait(_PROPAGATION_MS)
     before = engine.arrivals
-    ask_often(world, world.nodes[0], _REQUESTS)
+    ask_often(cluster, cluster.nodes[0], _REQUEST_COUNT)
     assert engine.arrivals == before
-    ask_often(world, world.nodes[1], _REQUESTS)
+    ask_often(cluster, cluster.nodes[1], _REQUEST_COUNT)
     assert engine.arrivals > before
 
 
-def choose_first(world):
+def send_first_attempts(cluster):
     """Send requests."""
-    ask_often(world, world.nodes[0], _REQUESTS)
+    ask_often(cluster, cluster.nodes[0], _REQUEST_COUNT)
 
 
-def choose_second(world):
-    """Send requests on that others turn away."""
-    for engine in world.engines[1:]:
-        engine.next_behaviours.extend(repeat(Behaviour.FULL, _REQUESTS))
-    ask_often(world, world.nodes[0], _REQUESTS)
+def retry_after_rejection(cluster):
+    """Let the other engines reject requests, which are then retried."""
+    for engine in cluster.engines[1:]:
+        engine.next_behaviours.extend(repeat(Behaviour.FULL, _REQUEST_COUNT))
+    ask_often(cluster, cluster.nodes[0], _REQUEST_COUNT)
 
 
-def choose_alone(world):
-    """Send requests on under which connections were cut."""
-    for engine in world.engines[1:]:
-        engine.next_behaviours.extend(repeat(Behaviour.CLOSE, _REQUESTS))
-    ask_often(world, world.nodes[0], _REQUESTS)
+def retry_after_connection_loss(cluster):
+    """Let the other engines close connections, so that requests are retried."""
+    for engine in cluster.engines[1:]:
+        engine.next_behaviours.extend(repeat(Behaviour.CLOSE, _REQUEST_COUNT))
+    ask_often(cluster, cluster.nodes[0], _REQUEST_COUNT)
 
 
-def take_up(world):
-    """Take up streams elsewhere that were broken off."""
-    for engine in world.engines[1:]:
-        engine.next_behaviours.extend(repeat(Behaviour.BREAK_OFF, _REQUESTS))
-    ask_often(world, world.nodes[0], _REQUESTS)
+def resume_streams(cluster):
+    """Let the other engines break off streams, which are then resumed."""
+    for engine in cluster.engines[1:]:
+        engine.next_behaviours.extend(
+            repeat(Behaviour.BREAK_OFF, _REQUEST_COUNT)
+        )
+    ask_often(cluster, cluster.nodes[0], _REQUEST_COUNT)
 
 
-def choose_helpers(world):
-    """Let several engines read prompts, and set memory aside for them."""
+def reserve_helpers(cluster):
+    """Send prompts that need memory reserved at several engines."""
     for _ in range(3):
-        world.ask(world.nodes[0], SOUND, size=HUGE, **PATIENT)
+        cluster.ask(cluster.nodes[0], SOUND, size=HUGE, **PATIENT)
 
 
-def choose_anew(world):
-    """Send requests after the configuration has changed."""
-    node = world.nodes[0]
+def send_after_config_change(cluster):
+    """Send requests after a change of the configuration."""
+    node = cluster.nodes[0]
     config = node.holder.config
     config.version += 1
     node.holder.offer(config, b'')
-    ask_often(world, node, _REQUESTS)
+    ask_often(cluster, node, _REQUEST_COUNT)
 
 
-@pytest.mark.parametrize('statement', STATEMENTS)
+@pytest.mark.parametrize('notice', NOTICES)
 @pytest.mark.parametrize(
-    'decide',
+    'trigger',
     [
-        choose_first,
-        choose_second,
-        choose_alone,
-        take_up,
-        choose_helpers,
-        choose_anew,
+        send_first_attempts,
+        retry_after_rejection,
+        retry_after_connection_loss,
+        resume_streams,
+        reserve_helpers,
+        send_after_config_change,
     ],
 )
-def test_statement_is_heeded_by_each_decision(statement, decide):
-    world, engine = make_world(statement, instances=1, engines=3)
-    ask_for_work(world, engine)
-    before = list_reached(engine)
-    decide(world)
-    assert list_reached(engine) <= before
+def test_notice_applies_to_each_decision(notice, trigger):
+    cluster, engine = make_cluster(notice, instances=1, engines=3)
+    ask_for_work(cluster, engine)
+    before = list_received(engine)
+    trigger(cluster)
+    assert list_received(engine) <= before
 
 
 def list_headers():
-    """Return the names of all headers of the wire."""
+    """Return the names of all headers in the wire module."""
     return sorted(
         text
         for name, text in wire.__dict__.items()
@@ -188,19 +197,19 @@
 
 
 @pytest.mark.parametrize('header', list_headers())
-def test_each_header_has_a_row_in_the_table(header):
-    """So that whatever is read next is thought through first."""
+def test_each_header_is_listed_in_the_table(header):
+    """A new header needs a row before it is used."""
     rows = [
         line.lower()
         for line in _TABLE.read_text(encoding='utf-8').splitlines()
         if line.startswith('|')
     ]
-    named = re.compile(rf'`{re.escape(header)}`')
-    assert any(named.search(row.split('|')[1]) for row in rows)
+    pattern = re.compile(rf'`{re.escape(header)}`')
+    assert any(pattern.search(row.split('|')[1]) for row in rows)
 
 
 def test_no_cell_of_the_table_is_empty():
-    """An empty one is a fault, or wants its reason."""
+    """An empty cell is an unhandled case, or lacks its reason."""
     rows = [
         line.strip().strip('|').split('|')
         for line in _TABLE.read_text(encoding='utf-8').splitlines()
