--- a/crankchute/platform/ending_requests_test.py
+++ b/crankchute/platform/ending_requests_test.py
@@ -27,7 +27,7 @@
         return sum(not engine.is_up for engine in self.engines)
 
     def start_engine(self):
-        """Start an engine that crashes on such a request."""
+        """Start an engine that crashes on requests with the crashing body."""
         engine = super().start_engine()
         engine.ends_on.add(_CRASHING_BODY)
         return engine
--- a/crankchute/platform/requests.py
+++ b/crankchute/platform/requests.py
@@ -226,8 +226,8 @@
 def _compute_fingerprint(exchange, account):
     """Return a hash that is the same for all submissions of a request.
 
-    It leaves out headers, since ids, deadlines and last events differ between
-    submissions.
+    Of the headers only Host is included: ids, deadlines and last events differ
+    between submissions.
     """
     target = f'{exchange.method} {exchange.header(HOST)} {exchange.target}'
     return make_fingerprint(
