--- a/crankchute/client/__init__.py
+++ b/crankchute/client/__init__.py
@@ -1,1 +1,1 @@
-"""The client library: addresses, bindings, retries, deadlines."""
+"""Client library with service discovery, retries and deadlines."""
--- a/crankchute/client/caller.py
+++ b/crankchute/client/caller.py
@@ -1,23 +1,23 @@
-"""The client library: completions and service calls on a loop.
+"""Asynchronous client for completions and service calls.
 
-It asks the system which addresses to use and keeps the answer for its time to
-live, binds calls that may not be repeated, obeys retry hints, and holds its
-own deadlines, so that a cut network ends the wait too.
+The client discovers entry instances, binds non-idempotent calls to one of
+them, honours retry hints, and enforces deadlines itself, so that calls also
+end when the network is partitioned.
 """
 
 import random
 
 from crankchute.adapters.http_client import HttpClient
-from crankchute.client.address_book import AddressBook
+from crankchute.client.address_book import AddressCache
 from crankchute.client.completion_call import CompletionCall
-from crankchute.client.service_call import BoundCall
+from crankchute.client.service_call import ServiceCall
 
-_DEFAULT_IDLE_MS = 10_000
+_DEFAULT_IDLE_TIMEOUT_MS = 10_000
 _DEFAULT_MAX_TOKENS = 16
 
 
 class CallOptions:
-    """How a call is to be made."""
+    """The workload class, deadline and other options of a call."""
 
     __slots__ = ('deadline_ms', 'idle_ms', 'max_tokens', 'model', 'workload')
 
@@ -26,33 +26,33 @@
 
         Args:
           workload: The workload class's name.
-          deadline_ms: Milliseconds in which the call must end.
+          deadline_ms: The timeout of the whole call, in milliseconds.
           details: `model` and `max_tokens` of a completion, and `idle_ms`,
-            the longest silence that is borne in a stream.
+            the idle timeout of a stream.
         """
         self.workload = workload
         self.deadline_ms = deadline_ms
         self.model = details.get('model')
         self.max_tokens = details.get('max_tokens', _DEFAULT_MAX_TOKENS)
-        self.idle_ms = details.get('idle_ms', _DEFAULT_IDLE_MS)
+        self.idle_ms = details.get('idle_ms', _DEFAULT_IDLE_TIMEOUT_MS)
 
 
 class Caller:
-    """Makes calls for one client account."""
+    """Makes calls on behalf of one client account."""
 
     def __init__(self, loop, seeds, account, channel='caller'):
-        """Create a caller.
+        """Create a client.
 
         Args:
           loop: The Loop.
-          seeds: Pairs of IP number and port of entry instances.
+          seeds: Pairs of IP address and port of entry instances.
           account: The client account's name.
-          channel: A name that is unique in the process.
+          channel: A name of the HTTP client, unique in the process.
         """
         self._account = account
         self.timers = loop.timers
         self.http = HttpClient(channel=channel).register(loop)
-        self.book = AddressBook(
+        self.addresses = AddressCache(
             self.http,
             loop.timers,
             random.SystemRandom(),
@@ -61,15 +61,15 @@
         )
 
     def now_ms(self):
-        """Return the time on the caller's clock."""
+        """Return the time on the client's clock."""
         return self.timers.clock.now_ms()
 
     def headers(self, workload, deadline_ms):
-        """Return the headers that every call carries, a list of pairs.
+        """Return the headers common to all calls, a list of pairs.
 
         Args:
           workload: The workload class's name.
-          deadline_ms: Milliseconds left.
+          deadline_ms: Milliseconds until the deadline.
         """
         return [
             ('Crankchute-Account', self._account),
@@ -77,22 +77,22 @@
             ('Crankchute-Deadline-Ms', str(deadline_ms)),
         ]
 
-    def complete(self, prompt, options, on_end):
-        """Ask for a completion.
+    def complete(self, prompt, options, on_result):
+        """Request a completion.
 
         Args:
           prompt: A string.
           options: CallOptions.
-          on_end: A function of a CallResult, called once on the loop.
+          on_result: A function of a CallResult, called once on the loop.
         """
-        CompletionCall(self, prompt, options, on_end).start()
+        CompletionCall(self, prompt, options, on_result).start()
 
-    def call_service(self, request, options, on_end):
+    def call_service(self, request, options, on_result):
         """Call a plain service.
 
         Args:
           request: A ServiceRequest.
           options: CallOptions.
-          on_end: A function of a CallResult, called once on the loop.
+          on_result: A function of a CallResult, called once on the loop.
         """
-        BoundCall(self, request, options, on_end).start()
+        ServiceCall(self, request, options, on_result).start()
--- a/crankchute/client/completion_call.py
+++ b/crankchute/client/completion_call.py
@@ -1,4 +1,4 @@
-"""A completion from the caller's side: tries, hints, its own deadline."""
+"""Completion calls, with retries and a deadline."""
 
 from http import HTTPStatus
 
@@ -9,8 +9,8 @@
 from crankchute.client.results import (
     CallResult,
     RemoteRefusal,
-    describe_failure,
-    describe_refusal,
+    make_failure_result,
+    make_refusal_result,
 )
 from crankchute.client.timed_call import TimedCall
 from crankchute.core.outcomes import Outcome
@@ -18,89 +18,96 @@
 from crankchute.ports.http import ResponseSink
 
 COMPLETIONS_PATH = '/v1/completions'
-_PAUSE_MS = 50
-_MARGIN_MS = 20
-_UNREADABLE = b'{}'
+_RETRY_DELAY_MS = 50
+#: Subtracted from the deadline in the request, so that the server's error
+#: arrives before the client's own deadline.
+_DEADLINE_MARGIN_MS = 20
+_EMPTY_DOCUMENT = b'{}'
 
 
 class CompletionCall(TimedCall):
-    """One completion; may be submitted again while nothing was delivered.
+    """One completion, submitted again if it is rejected or its stream breaks.
 
-    A stream that breaks off is asked for again from its start, since a
-    completion is repeatable; the caller gets the tokens of one whole answer.
+    Completions are idempotent: a retry starts the stream from its beginning,
+    and the result holds the tokens of a single complete answer.
     """
 
-    def __init__(self, parts, prompt, options, on_end):
+    def __init__(self, client, prompt, options, on_result):
         """Create the call; start() submits it.
 
         Args:
-          parts: The Caller.
+          client: The client.
           prompt: A string.
           options: CallOptions.
-          on_end: A function of a CallResult, called once.
+          on_result: A function of a CallResult, called once.
         """
-        super().__init__(parts, options, on_end)
+        super().__init__(client, options, on_result)
         self._prompt = prompt
-        self._try = None
-        self._sent = False
-        self._last = None
+        self._attempt = None
+        self._was_sent = False
+        self._last_refusal = None
         self.first_token_ms = None
 
     def start(self):
         """Submit the request."""
-        self.watch_deadline(self._on_deadline)
+        self.start_deadline_timer(self._on_deadline)
         self._submit()
 
     def on_first_token(self):
-        """Note the time of the first token."""
+        """Record the time to first token."""
         if self.first_token_ms is None:
             self.first_token_ms = self.elapsed_ms()
 
-    def on_whole(self, text, count):
-        """End with a whole answer."""
-        end = CallResult(Outcome.OK)
-        end.text = text
-        end.tokens = count
-        self.finish(end)
+    def on_complete(self, text, count):
+        """Finish with a complete answer.
 
-    def finish(self, end):
-        """Tell the end, with the time to first token."""
-        end.first_token_ms = self.first_token_ms
-        super().finish(end)
+        Args:
+          text: The answer, a string.
+          count: The number of its tokens.
+        """
+        call_result = CallResult(Outcome.OK)
+        call_result.text = text
+        call_result.tokens = count
+        self.finish(call_result)
+
+    def finish(self, call_result):
+        """Add the time to first token to the result, and report it."""
+        call_result.first_token_ms = self.first_token_ms
+        super().finish(call_result)
 
     def on_refused(self, refusal):
-        """Try again when the refusal says, or end with it."""
-        self._try = None
-        self._last = refusal
+        """Retry after the delay in the refusal, or finish with the refusal."""
+        self._attempt = None
+        self._last_refusal = refusal
         if refusal.retry_after_ms is None:
-            self.finish(describe_refusal(refusal))
+            self.finish(make_refusal_result(refusal))
             return
         if refusal.retry_after_ms >= self.remaining_ms():
-            self.finish(describe_refusal(refusal))
+            self.finish(make_refusal_result(refusal))
             return
-        self._parts.book.expire()
-        self._parts.timers.after(refusal.retry_after_ms, self._submit)
+        self._client.addresses.invalidate()
+        self._client.timers.after(refusal.retry_after_ms, self._submit)
 
-    def on_broken(self, address, exc):
-        """Try another address after a connection that failed."""
-        self._try = None
-        self._sent = self._sent or exc.sent
-        self._parts.book.distrust(address)
-        self._parts.timers.after(_PAUSE_MS, self._submit)
+    def on_connection_failed(self, address, exc):
+        """Retry at another address after a connection failure."""
+        self._attempt = None
+        self._was_sent = self._was_sent or exc.sent
+        self._client.addresses.mark_failed(address)
+        self._client.timers.after(_RETRY_DELAY_MS, self._submit)
 
     def _submit(self):
-        if not self.is_over:
-            self._parts.book.get(self._send)
+        if not self.is_finished:
+            self._client.addresses.get(self._send)
 
     def _send(self, address):
-        if self.is_over:
+        if self.is_finished:
             return
-        self._tries += 1
+        self._attempt_count += 1
         self.first_token_ms = None
-        self._try = StreamTry(self, self._parts, address)
-        self._try.start(self._build(address), self._options.idle_ms)
+        self._attempt = StreamAttempt(self, self._client, address)
+        self._attempt.start(self._build_request(address), self._options.idle_ms)
 
-    def _build(self, address):
+    def _build_request(self, address):
         options = self._options
         document = {
             'model': options.model,
@@ -108,62 +115,70 @@
             'max_tokens': options.max_tokens,
             'stream': True,
         }
-        remaining_ms = int(self.remaining_ms() - _MARGIN_MS)
-        headers = self._parts.headers(options.workload, max(remaining_ms, 1))
+        remaining_ms = int(self.remaining_ms() - _DEADLINE_MARGIN_MS)
+        headers = self._client.headers(options.workload, max(remaining_ms, 1))
         body = orjson.dumps(document)
         return build_request('POST', address, COMPLETIONS_PATH, body, headers)
 
     def _on_deadline(self):
-        if self._try is not None:
-            self._try.cancel()
-        outcome = Outcome.FAILED if self._sent or self._try else Outcome.NOT_RUN
-        if self._last is not None and not self._try and not self._sent:
-            self.finish(describe_refusal(self._last))
+        if self._attempt is not None:
+            self._attempt.cancel()
+        outcome = (
+            Outcome.FAILED
+            if self._was_sent or self._attempt
+            else Outcome.NOT_RUN
+        )
+        if (
+            self._last_refusal is not None
+            and not self._attempt
+            and not self._was_sent
+        ):
+            self.finish(make_refusal_result(self._last_refusal))
             return
-        text = 'the deadline passed without a whole answer'
-        self.finish(describe_failure(outcome, 'deadline_exceeded', text))
+        text = 'the deadline passed before the answer was complete'
+        self.finish(make_failure_result(outcome, 'deadline_exceeded', text))
 
 
-class StreamTry(ResponseSink):
-    """One submission of a completion and its stream."""
+class StreamAttempt(ResponseSink):
+    """One submission of a completion, and its response stream."""
 
-    def __init__(self, call, parts, address):
-        """Create the submission.
+    def __init__(self, call, client, address):
+        """Create the attempt.
 
         Args:
           call: The CompletionCall.
-          parts: The Caller.
-          address: The entry instance's pair of IP number and port.
+          client: The client.
+          address: The IP address and port of an entry instance, a pair.
         """
         self._call = call
-        self._parts = parts
+        self._client = client
         self._address = address
         self._reader = EventReader()
         self._status = None
-        self._body = []
+        self._error_chunks = []
         self._texts = []
-        self._count = None
-        self._error = None
-        self._idle = None
-        self._idle_ms = None
-        self._heard_ms = None
+        self._token_count = None
+        self._refusal = None
+        self._idle_timer = None
+        self._idle_timeout_ms = None
+        self._last_activity_ms = None
         self._http_call = None
-        self._offset = 0
+        self._next_offset = 0
 
     def start(self, payload, idle_ms):
         """Send the request.
 
         Args:
-          payload: Its bytes.
-          idle_ms: The longest silence that is borne.
+          payload: The bytes of the HTTP request.
+          idle_ms: The idle timeout of the stream, in milliseconds.
         """
-        self._idle_ms = idle_ms
-        self._watch()
-        self._http_call = self._parts.http.send(self._address, payload, self)
+        self._idle_timeout_ms = idle_ms
+        self._note_activity()
+        self._http_call = self._client.http.send(self._address, payload, self)
 
     def cancel(self):
-        """Give the submission up."""
-        self._idle.cancel()
+        """Cancel the request."""
+        self._idle_timer.cancel()
         if self._http_call is not None:
             self._http_call.cancel()
 
@@ -173,77 +188,83 @@
 
     def on_body(self, chunk):
         """See ResponseSink."""
-        self._watch()
+        self._note_activity()
         if self._status != HTTPStatus.OK:
-            self._body.append(chunk)
+            self._error_chunks.append(chunk)
             return
         for document in self._reader.feed(chunk):
-            self._take(document)
+            self._handle_event(document)
 
     def on_done(self):
         """See ResponseSink."""
-        self._idle.cancel()
-        refusal = self._find_refusal()
+        self._idle_timer.cancel()
+        refusal = self._get_refusal()
         if refusal:
             self._call.on_refused(refusal)
-        elif self._count == self._offset:
-            self._call.on_whole(''.join(self._texts), self._count)
+        elif self._token_count == self._next_offset:
+            self._call.on_complete(''.join(self._texts), self._token_count)
         else:
-            exc = BackendError('the answer ended without its mark', sent=True)
-            self._call.on_broken(self._address, exc)
+            exc = BackendError(
+                'the stream ended without its token count', sent=True
+            )
+            self._call.on_connection_failed(self._address, exc)
 
     def on_error(self, exc):
         """See ResponseSink."""
-        self._idle.cancel()
-        self._call.on_broken(self._address, exc)
+        self._idle_timer.cancel()
+        self._call.on_connection_failed(self._address, exc)
 
-    def _find_refusal(self):
+    def _get_refusal(self):
         if self._status != HTTPStatus.OK:
-            return read_refusal(b''.join(self._body))
-        return self._error
+            return read_refusal(b''.join(self._error_chunks))
+        return self._refusal
 
-    def _take(self, document):
+    def _handle_event(self, document):
         if 'error' in document:
-            self._error = RemoteRefusal(document)
+            self._refusal = RemoteRefusal(document)
             return
         usage = document.get('usage')
         if usage is not None:
-            self._count = usage['completion_tokens']
+            self._token_count = usage['completion_tokens']
             return
-        if document['offset'] != self._offset:
-            self._break_off('a part of the answer is missing')
+        if document['offset'] != self._next_offset:
+            self._abort('the stream skipped tokens')
             return
         self._call.on_first_token()
-        self._offset = document['next']
+        self._next_offset = document['next']
         self._texts.append(document['choices'][0]['text'])
 
-    def _watch(self):
-        self._heard_ms = self._parts.now_ms()
-        if self._idle is None:
-            self._set_idle(self._idle_ms)
+    def _note_activity(self):
+        self._last_activity_ms = self._client.now_ms()
+        if self._idle_timer is None:
+            self._start_idle_timer(self._idle_timeout_ms)
 
-    def _set_idle(self, delay_ms):
-        self._idle = self._parts.timers.after(delay_ms, self._on_idle)
+    def _start_idle_timer(self, delay_ms):
+        self._idle_timer = self._client.timers.after(
+            delay_ms, self._on_idle_timer
+        )
 
-    def _on_idle(self):
-        silent_ms = self._parts.now_ms() - self._heard_ms
-        if silent_ms < self._idle_ms:
-            self._set_idle(self._idle_ms - silent_ms)
+    def _on_idle_timer(self):
+        idle_time_ms = self._client.now_ms() - self._last_activity_ms
+        if idle_time_ms < self._idle_timeout_ms:
+            self._start_idle_timer(self._idle_timeout_ms - idle_time_ms)
         else:
-            self._break_off('the entry instance fell silent')
+            self._abort('the stream was idle for too long')
 
-    def _break_off(self, text):
+    def _abort(self, text):
         self._http_call.fail(text)
 
 
 def read_refusal(body):
-    """Return the RemoteRefusal of a response's body.
+    """Parse the body of an error response.
 
     Args:
-      body: Bytes; anything but a typed body is an unknown outcome.
+      body: Bytes; if they cannot be parsed, the outcome is unknown.
+    Returns:
+      A RemoteRefusal.
     """
     try:
-        document = orjson.loads(body or _UNREADABLE)
+        document = orjson.loads(body or _EMPTY_DOCUMENT)
     except orjson.JSONDecodeError:
         document = {}
     return RemoteRefusal(document)
--- a/crankchute/client/results.py
+++ b/crankchute/client/results.py
@@ -1,27 +1,28 @@
-"""How a call ended, as the client library tells it."""
+"""Results of calls, as the client library reports them."""
 
 from crankchute.core.outcomes import Outcome
 
 
 class CallResult:
-    """The end of a call.
+    """The result of a call.
 
     Attributes:
       outcome: An Outcome.
-      text: The whole answer of a completion, a string.
-      tokens: How many tokens it has, an int.
-      body: The answer of a plain service, bytes.
-      status: The HTTP status of that answer, an int.
-      first_token_ms: Milliseconds to the first token, or None.
-      total_ms: Milliseconds to the end.
-      tries: How many submissions were made, an int.
-      code: The refusal's identifier, or None.
-      message: The refusal's sentence, or None.
-      retry_after_ms: When to ask again, or None.
-      key: The text of the request key, or None.
+      text: The complete answer of a completion, a string.
+      tokens: The number of tokens in the answer, an int.
+      body: The response body of a plain service, bytes.
+      status: The HTTP status of that response, an int.
+      first_token_ms: The time to first token in milliseconds, or None.
+      total_ms: The duration of the call in milliseconds.
+      attempts: The number of submissions, an int.
+      code: The error code, or None.
+      message: The error message, or None.
+      retry_after_ms: Milliseconds after which to retry, or None.
+      key: The request key, or None.
     """
 
     __slots__ = (
+        'attempts',
         'body',
         'code',
         'first_token_ms',
@@ -33,11 +34,10 @@
         'text',
         'tokens',
         'total_ms',
-        'tries',
     )
 
     def __init__(self, outcome):
-        """Create a result with nothing but its outcome.
+        """Create a result with an outcome only.
 
         Args:
           outcome: An Outcome.
@@ -49,7 +49,7 @@
         self.status = None
         self.first_token_ms = None
         self.total_ms = None
-        self.tries = 0
+        self.attempts = 0
         self.code = None
         self.message = None
         self.retry_after_ms = None
@@ -57,20 +57,29 @@
 
     @property
     def is_ok(self):
-        """Whether there is a whole answer."""
+        """Whether the call succeeded."""
         return self.outcome == Outcome.OK
 
 
 class RemoteRefusal:
-    """A refusal as an entry instance sent it."""
+    """The decoded error response of an entry instance.
+
+    Attributes:
+      code: A short identifier for programs, a string.
+      message: A sentence for people, a string.
+      outcome: An Outcome.
+      passed_on: Whether the request may have reached a backend server.
+      retry_after_ms: Milliseconds after which to retry, or None.
+    """
 
     __slots__ = ('code', 'message', 'outcome', 'passed_on', 'retry_after_ms')
 
     def __init__(self, document):
-        """Read the typed body of a refusal.
+        """Read an error document.
 
         Args:
-          document: A map; what is missing is read with caution.
+          document: A map; if the outcome is missing, the request is assumed
+            to have reached a backend server.
         """
         error = document.get('error', {})
         self.code = error.get('type', 'unreadable')
@@ -81,28 +90,28 @@
         self.passed_on = error.get('passed_on', default)
 
 
-def describe_refusal(refusal):
-    """Return the result of a call that ended with a refusal.
+def make_refusal_result(refusal):
+    """Return the result of a call that was refused.
 
     Args:
       refusal: A RemoteRefusal.
     """
-    outcome = CallResult(refusal.outcome)
-    outcome.code = refusal.code
-    outcome.message = refusal.message
-    outcome.retry_after_ms = refusal.retry_after_ms
-    return outcome
+    call_result = CallResult(refusal.outcome)
+    call_result.code = refusal.code
+    call_result.message = refusal.message
+    call_result.retry_after_ms = refusal.retry_after_ms
+    return call_result
 
 
-def describe_failure(outcome, code, message):
-    """Return the result of a call that ended without an answer.
+def make_failure_result(outcome, code, message):
+    """Return the result of a call that failed without a response.
 
     Args:
       outcome: An Outcome.
       code: A short identifier for programs.
       message: A sentence for people.
     """
-    failure = CallResult(outcome)
-    failure.code = code
-    failure.message = message
-    return failure
+    call_result = CallResult(outcome)
+    call_result.code = code
+    call_result.message = message
+    return call_result
--- a/crankchute/client/service_call.py
+++ b/crankchute/client/service_call.py
@@ -1,9 +1,8 @@
-"""A call of a plain service from the caller's side.
+"""Calls of plain services.
 
-A call that may not be repeated is bound to the incarnation that gave the
-address answer.  The same key may be submitted again, to learn what became of
-it; a new binding is taken only when every submission is known not to have
-been passed on.
+A non-idempotent call carries a request key that is bound to one entry process.
+Submitting the key again returns the recorded outcome instead of running the
+call twice.  A new key is made only if no submission reached a backend server.
 """
 
 import secrets
@@ -13,17 +12,19 @@
 from crankchute.client.completion_call import read_refusal
 from crankchute.client.results import (
     CallResult,
-    describe_failure,
-    describe_refusal,
+    make_failure_result,
+    make_refusal_result,
 )
 from crankchute.client.timed_call import TimedCall
 from crankchute.core.outcomes import Outcome
 from crankchute.ports.http import WholeResponse
 
 KEY_HEADER = 'Crankchute-Key'
-_PAUSE_MS = 100
-_MARGIN_MS = 20
-_MOST_SUBMISSIONS = 4
+_RETRY_DELAY_MS = 100
+#: Subtracted from the deadline in the request, so that the server's error
+#: arrives before the client's own deadline.
+_DEADLINE_MARGIN_MS = 20
+_MAX_SUBMISSIONS = 4
 _REFUSAL_STATUSES = frozenset(
     (
         HTTPStatus.BAD_REQUEST,
@@ -37,90 +38,90 @@
         HTTPStatus.GATEWAY_TIMEOUT,
     )
 )
-_ERROR_MARK = b'"outcome"'
+_ERROR_FIELD = b'"outcome"'
 
 
 class ServiceRequest:
-    """What is asked of a plain service."""
+    """A request to a plain service."""
 
-    __slots__ = ('body', 'method', 'path', 'pool', 'repeatable')
+    __slots__ = ('body', 'is_idempotent', 'method', 'path', 'pool')
 
     def __init__(self, pool, method, path, body=b''):
         """Create the request.
 
         Args:
           pool: The pool's name.
-          method: The HTTP method; all but GET and HEAD are not repeatable.
-          path: The path at the service, with a leading slash.
-          body: Bytes.
+          method: The HTTP method; GET and HEAD count as idempotent.
+          path: The path on the service, with a leading slash.
+          body: The request body, bytes.
         """
         self.pool = pool
         self.method = method
         self.path = path
         self.body = body
-        self.repeatable = method in {'GET', 'HEAD'}
+        self.is_idempotent = method in {'GET', 'HEAD'}
 
 
-class BoundCall(TimedCall):
+class ServiceCall(TimedCall):
     """One call of a plain service."""
 
-    def __init__(self, parts, request, options, on_end):
+    def __init__(self, client, request, options, on_result):
         """Create the call; start() submits it.
 
         Args:
-          parts: The Caller.
+          client: The client.
           request: A ServiceRequest.
           options: CallOptions.
-          on_end: A function of a CallResult, called once.
+          on_result: A function of a CallResult, called once.
         """
-        super().__init__(parts, options, on_end)
+        super().__init__(client, options, on_result)
         self._request = request
-        self._submissions = 0
+        self._submission_count = 0
         self._may_have_run = False
         self._key = None
-        self._bound = None
+        self._bound_address = None
         self._http_call = None
 
     def start(self):
         """Submit the call."""
-        self.watch_deadline(self._on_deadline)
+        self.start_deadline_timer(self._on_deadline)
         self._bind()
 
-    def finish(self, end):
-        """Tell the end, with the key that was last submitted."""
-        end.key = self._key
-        super().finish(end)
+    def finish(self, call_result):
+        """Add the last submitted key to the result, and report it."""
+        call_result.key = self._key
+        super().finish(call_result)
 
     def _bind(self):
-        """Take an address, and a new key unless the call is repeatable."""
-        if not self.is_over:
-            self._parts.book.get(self._on_address)
+        """Get an address, and make a new key if the call needs one."""
+        if not self.is_finished:
+            self._client.addresses.get(self._on_address)
 
     def _on_address(self, address):
-        if self.is_over:
+        if self.is_finished:
             return
-        self._submissions = 0
-        if not self._request.repeatable:
-            self._take_key()
-            address = self._bound
+        self._submission_count = 0
+        if not self._request.is_idempotent:
+            self._make_key()
+            address = self._bound_address
         self._send(address)
 
-    def _take_key(self):
-        binding = self._parts.book.binding
-        self._bound = binding.address
-        self._key = binding.make_key(
+    def _make_key(self):
+        binding = self._client.addresses.binding
+        self._bound_address = binding.address
+        self._key = binding.format_key(
             secrets.token_hex(8),
             self._options.deadline_ms,
-            self._parts.now_ms(),
+            self._client.now_ms(),
         )
 
     def _send(self, address):
-        self._tries += 1
-        self._submissions += 1
+        self._attempt_count += 1
+        self._submission_count += 1
         request = self._request
         path = f'/v1/services/{request.pool}{request.path}'
-        remaining_ms = int(self.remaining_ms() - _MARGIN_MS)
-        headers = self._parts.headers(
+        remaining_ms = int(self.remaining_ms() - _DEADLINE_MARGIN_MS)
+        headers = self._client.headers(
             self._options.workload,
             max(remaining_ms, 1),
         )
@@ -136,10 +137,10 @@
         )
         sink = WholeResponse(
             self._on_response,
-            lambda exc: self._on_broken(address, exc),
+            lambda exc: self._on_connection_failed(address, exc),
         )
-        fresh = not request.repeatable
-        self._http_call = self._parts.http.send(
+        fresh = not request.is_idempotent
+        self._http_call = self._client.http.send(
             address,
             payload,
             sink,
@@ -148,73 +149,73 @@
 
     def _on_response(self, status, body):
         self._http_call = None
-        if status in _REFUSAL_STATUSES and _ERROR_MARK in body:
+        if status in _REFUSAL_STATUSES and _ERROR_FIELD in body:
             self._on_refused(read_refusal(body))
             return
-        end = CallResult(Outcome.OK)
-        end.status = status
-        end.body = body
-        self.finish(end)
+        call_result = CallResult(Outcome.OK)
+        call_result.status = status
+        call_result.body = body
+        self.finish(call_result)
 
     def _on_refused(self, refusal):
         if refusal.passed_on:
             self._may_have_run = True
-        if self._may_have_run and not self._request.repeatable:
-            end = describe_refusal(refusal)
-            end.outcome = _worst(refusal.outcome)
-            self.finish(end)
+        if self._may_have_run and not self._request.is_idempotent:
+            call_result = make_refusal_result(refusal)
+            call_result.outcome = _weaken_outcome(refusal.outcome)
+            self.finish(call_result)
             return
-        hint_ms = refusal.retry_after_ms
-        is_lost = refusal.code == 'binding_lost'
-        if is_lost:
-            hint_ms = _PAUSE_MS
-        if hint_ms is None or hint_ms >= self.remaining_ms():
-            self.finish(describe_refusal(refusal))
+        delay_ms = refusal.retry_after_ms
+        is_binding_lost = refusal.code == 'binding_lost'
+        if is_binding_lost:
+            delay_ms = _RETRY_DELAY_MS
+        if delay_ms is None or delay_ms >= self.remaining_ms():
+            self.finish(make_refusal_result(refusal))
             return
-        self._parts.book.expire()
-        self._parts.timers.after(hint_ms, self._bind)
+        self._client.addresses.invalidate()
+        self._client.timers.after(delay_ms, self._bind)
 
-    def _on_broken(self, address, exc):
+    def _on_connection_failed(self, address, exc):
         self._http_call = None
-        self._parts.book.distrust(address)
+        self._client.addresses.mark_failed(address)
         if exc.sent:
             self._may_have_run = True
-        if self._request.repeatable or not self._may_have_run:
-            self._parts.timers.after(_PAUSE_MS, self._bind)
+        if self._request.is_idempotent or not self._may_have_run:
+            self._client.timers.after(_RETRY_DELAY_MS, self._bind)
             return
-        self._parts.timers.after(_PAUSE_MS, self._ask_again)
+        self._client.timers.after(_RETRY_DELAY_MS, self._resubmit)
 
-    def _ask_again(self):
-        """Submit the same key again, to learn what became of it."""
-        if self.is_over:
+    def _resubmit(self):
+        """Submit the same key again to learn the outcome of the call."""
+        if self.is_finished:
             return
-        if self._submissions >= _MOST_SUBMISSIONS:
-            self.finish(_lost())
+        if self._submission_count >= _MAX_SUBMISSIONS:
+            self.finish(_make_lost_result())
             return
         addresses = [
-            self._bound,
-            *self._parts.book.other_addresses(self._bound),
+            self._bound_address,
+            *self._client.addresses.other_addresses(self._bound_address),
         ]
-        turn = self._submissions % len(addresses)
-        self._send(addresses[turn])
+        address_index = self._submission_count % len(addresses)
+        self._send(addresses[address_index])
 
     def _on_deadline(self):
         if self._http_call is not None:
             self._http_call.cancel()
         has_sent = self._http_call is not None or self._may_have_run
         outcome = Outcome.UNKNOWN if has_sent else Outcome.NOT_RUN
-        text = 'the deadline passed without an answer'
-        self.finish(describe_failure(outcome, 'deadline_exceeded', text))
+        text = 'the deadline passed before the response'
+        self.finish(make_failure_result(outcome, 'deadline_exceeded', text))
 
 
-def _worst(outcome):
-    """Return what may be said when an earlier submission may have run."""
+def _weaken_outcome(outcome):
+    """Replace NOT_RUN by UNKNOWN: an earlier submission may have run."""
     return Outcome.UNKNOWN if outcome == Outcome.NOT_RUN else outcome
 
 
-def _lost():
-    return describe_failure(
+def _make_lost_result():
+    return make_failure_result(
         Outcome.UNKNOWN,
         'binding_lost',
-        'the bound instance does not answer; the call may have run',
+        'the bound instance does not respond; the call may have run',
     )
--- a/crankchute/client/session.py
+++ b/crankchute/client/session.py
@@ -1,24 +1,24 @@
-"""A blocking face of the client library, for scripts and command lines."""
+"""A blocking client, for scripts and command-line tools."""
 
 from crankchute.adapters.loop import Loop
 from crankchute.client.caller import Caller
 
 
 class Session:
-    """Makes one call at a time and waits for its end."""
+    """Makes one call at a time and waits for its result."""
 
     def __init__(self, seeds, account):
-        """Create a session with a loop of its own.
+        """Create a client with its own event loop.
 
         Args:
-          seeds: Pairs of IP number and port of entry instances.
+          seeds: Pairs of IP address and port of entry instances.
           account: The client account's name.
         """
         self._loop = Loop()
-        self._caller = Caller(self._loop, seeds, account)
+        self._client = Caller(self._loop, seeds, account)
 
     def complete(self, prompt, options):
-        """Ask for a completion and wait.
+        """Request a completion and wait for the result.
 
         Args:
           prompt: A string.
@@ -27,11 +27,11 @@
           A CallResult.
         """
         return self._wait(
-            lambda on_end: self._caller.complete(prompt, options, on_end),
+            lambda on_result: self._client.complete(prompt, options, on_result),
         )
 
     def call_service(self, request, options):
-        """Call a plain service and wait.
+        """Call a plain service and wait for the result.
 
         Args:
           request: A ServiceRequest.
@@ -40,11 +40,13 @@
           A CallResult.
         """
         return self._wait(
-            lambda on_end: self._caller.call_service(request, options, on_end),
+            lambda on_result: self._client.call_service(
+                request, options, on_result
+            ),
         )
 
     def _wait(self, start):
-        ends = []
-        start(ends.append)
-        self._loop.run_until(lambda: bool(ends))
-        return ends[0]
+        call_results = []
+        start(call_results.append)
+        self._loop.run_until(lambda: bool(call_results))
+        return call_results[0]
