--- a/crankchute/errors.py
+++ b/crankchute/errors.py
@@ -1,18 +1,18 @@
-"""The exceptions of the project, and findings that are collected.
+"""Exceptions of the project, and findings of validation.
 
-An exception stops one operation.  A finding is a value: a check gathers all
-the findings it can make, each with its place, and reports them together.
+A validation collects all findings, each with its location, and then raises a
+single exception that carries them.
 """
 
 from http import HTTPStatus
 
 
 class CrankchuteError(Exception):
-    """The base of all exceptions of the project."""
+    """Base class of the exceptions of the project."""
 
 
 class Finding:
-    """One thing wrong with an input, and where it stands."""
+    """One error in an input, with its location."""
 
     __slots__ = ('place', 'text')
 
@@ -20,23 +20,23 @@
         """Create a finding.
 
         Args:
-          place: A string that names the document, key or flag.
-          text: A string that says what is wrong there.
+          place: The document, key or flag, a string.
+          text: The error, a string.
         """
         self.place = place
         self.text = text
 
     def __str__(self):
-        """Return the finding on one line."""
+        """Format the finding as one line."""
         return f'{self.place}: {self.text}'
 
     def __repr__(self):
-        """Return the finding as it would be written in code."""
+        """Format the finding as Python code."""
         return f'Finding({self.place!r}, {self.text!r})'
 
 
 class FindingsError(CrankchuteError):
-    """An input was refused whole; carries every finding."""
+    """An input is invalid; carries all findings."""
 
     def __init__(self, findings):
         """Create the exception.
@@ -49,32 +49,32 @@
 
 
 class SettingsError(FindingsError):
-    """The flags and environment variables of a process are not valid."""
+    """The flags or environment variables of a process are invalid."""
 
 
 class ConfigError(FindingsError):
-    """A published configuration is not valid."""
+    """A published configuration is invalid."""
 
 
 class StaleRevisionError(CrankchuteError):
-    """A configuration older than the one in force was offered."""
+    """A configuration is older than the active one."""
 
 
 class BackendError(CrankchuteError):
     """A call to a backend server failed.
 
     Attributes:
-      sent: False if it is proved that no byte left for the backend.
-      cut: Whether the connection ended, and not by this side, before the
-        answer was whole, a bool.
+      sent: False if certainly no byte was sent to the server, a bool.
+      cut: Whether the connection was closed, but not by this process, before
+        the response was complete, a bool.
     """
 
     def __init__(self, text, *, sent, cut=False):
         """Create the exception.
 
         Args:
-          text: What happened.
-          sent: False if it is proved that no byte left for the backend.
+          text: A description of the failure.
+          sent: See the class.
           cut: See the class.
         """
         super().__init__(text)
@@ -83,7 +83,7 @@
 
 
 class RequestRefused(CrankchuteError):
-    """A request was refused before anything was dispatched for it."""
+    """A request was refused before any part of it was dispatched."""
 
     def __init__(self, status, code, text, retry_after_ms=None):
         """Create the exception.
@@ -92,8 +92,8 @@
           status: The HTTP status, an int.
           code: A short identifier for programs.
           text: A sentence for people.
-          retry_after_ms: Milliseconds after which to ask again, or None if
-            asking again does not help.
+          retry_after_ms: Milliseconds after which to retry, or None if a
+            retry cannot succeed.
         """
         super().__init__(text)
         self.status = HTTPStatus(status)
@@ -103,4 +103,4 @@
 
 
 class BadKeyError(CrankchuteError):
-    """The text of a request key cannot be read."""
+    """A request key cannot be parsed."""
