--- a/crankchute/ports/engines.py
+++ b/crankchute/ports/engines.py
@@ -1,22 +1,22 @@
-"""What the core asks of model engines, and what it is told."""
+"""Interfaces to model engines: orders, and listeners for their progress."""
 
 import abc
 
 
 class GenerateOrder:
-    """An order to answer a prompt, or to resume an answer.
+    """An order to generate or resume the answer to a prompt.
 
     Attributes:
-      request_id: The request, a string.
-      attempt: The attempt's number, an int; frames repeat it.
+      request_id: The request's id, a string.
+      attempt: The attempt's number, an int, which is repeated in frames.
       model: The model's name.
-      prompt: Bytes; for a group, those of the last segment.
-      max_tokens: The length of the whole answer, an int.
-      offset: How many tokens the caller has already.
-      priority: 0 (first) and up.
-      deadline_ms: Milliseconds left for the whole request.
-      group: The group's id if the prompt is spread over engines, else None.
-      imports: SegmentExports of a group's other members, in order.
+      prompt: The prompt, bytes; of a group's prompt, the last segment.
+      max_tokens: The maximum length of the whole answer, an int.
+      offset: The number of tokens already delivered to the caller, an int.
+      priority: An int; 0 is the highest priority.
+      deadline_ms: Milliseconds until the request's deadline.
+      group: The group's id if the prompt is split across engines, or None.
+      imports: The SegmentExports of the group's other members, in order.
     """
 
     __slots__ = (
@@ -38,8 +38,8 @@
         Args:
           job: The Job.
           attempt: The attempt's number.
-          offset: How many tokens the caller has already.
-          deadline_ms: Milliseconds left for the whole request.
+          offset: The number of tokens already delivered to the caller.
+          deadline_ms: Milliseconds until the request's deadline.
         """
         self.request_id = job.request_id
         self.attempt = attempt
@@ -54,7 +54,7 @@
 
 
 class SegmentExport:
-    """KV cache of one segment that an engine keeps for others to import."""
+    """The KV cache of a segment, which other engines can import."""
 
     __slots__ = ('address', 'carry', 'group', 'index')
 
@@ -62,10 +62,10 @@
         """Create the record.
 
         Args:
-          address: The engine's pair of IP number and port.
+          address: The engine's IP address and port, a pair.
           group: The group's id.
           index: The segment's index, an int.
-          carry: What the engine said the next segment needs, a string.
+          carry: The state to pass to the next segment's prefill, a string.
         """
         self.address = address
         self.group = group
@@ -74,7 +74,7 @@
 
 
 class HoldOrder:
-    """An order to set memory aside for a segment of a group."""
+    """An order to reserve memory for a segment of a group."""
 
     __slots__ = ('deadline_ms', 'group', 'tokens')
 
@@ -83,8 +83,8 @@
 
         Args:
           group: The group's id, a string.
-          tokens: How many tokens of KV memory to set aside.
-          deadline_ms: Milliseconds after which the engine frees it alone.
+          tokens: The size of the KV cache to reserve, in tokens.
+          deadline_ms: Milliseconds until the reservation expires.
         """
         self.group = group
         self.tokens = tokens
@@ -92,7 +92,7 @@
 
 
 class SegmentOrder:
-    """An order to prefill one segment of a group's prompt."""
+    """An order to prefill a segment of a group's prompt."""
 
     __slots__ = (
         'carry',
@@ -104,129 +104,130 @@
         'prompt',
     )
 
-    def __init__(self, group, index, job, part, carry):
+    def __init__(self, group, index, job, segment, carry):
         """Create the order.
 
         Args:
           group: The group's id.
           index: The segment's index.
           job: The Job.
-          part: The segment's bytes.
-          carry: What the segment before left, a string; empty for the first.
+          segment: The segment's bytes.
+          carry: The state from the preceding segment's prefill, a string; empty
+            for the first segment.
         """
         self.group = group
         self.index = index
         self.model = job.model
         self.priority = job.engine_priority
-        self.prompt = part
+        self.prompt = segment
         self.carry = carry
         self.deadline_ms = None
 
 
 class EngineListener(abc.ABC):
-    """Is told how an order to generate goes; one end is told."""
+    """Receives the progress of a GenerateOrder, and exactly one end."""
 
     @abc.abstractmethod
     def on_frame(self, frame):
-        """Take a Frame of the stream."""
+        """Handle a Frame of the stream."""
 
     @abc.abstractmethod
     def on_refused(self, code, retry_after_ms):
-        """Take a refusal: the engine did not start.
+        """Handle a refusal: the engine did not start.
 
         Args:
           code: A short identifier, such as "no_memory".
-          retry_after_ms: When the engine may be asked again, or None.
+          retry_after_ms: Milliseconds after which to retry at this engine, or
+            None.
         """
 
     @abc.abstractmethod
     def on_failed(self, exc):
-        """Take a BackendError, also for a stream that ended too early."""
+        """Handle a BackendError; also called for a truncated stream."""
 
 
 class EnginePort(abc.ABC):
-    """Calls to model engines; every answer comes later, on the loop."""
+    """Calls to model engines; callbacks run later, on the event loop."""
 
     @abc.abstractmethod
     def generate(self, backend, order, listener):
-        """Start to generate.
+        """Start to generate an answer.
 
         Args:
           backend: A Backend.
           order: A GenerateOrder.
           listener: An EngineListener.
         Returns:
-          An object whose cancel() gives the order up.
+          An object whose cancel() cancels the order.
         """
 
     def ask_listening(self, _backend, on_known):
-        """Find out whether an engine's process still runs.
+        """Check whether a process still listens at an engine's address.
 
-        An adapter that cannot tell does not know.
+        The default implementation reports None.
 
         Args:
           _backend: A Backend.
-          on_known: A function of True, of False if nobody listens at the
-            engine's address, or of None if that is not known.
+          on_known: A function of True, False, or None if it is unknown.
         """
         on_known(None)
 
     @abc.abstractmethod
     def hold(self, backend, order, on_done):
-        """Set memory aside.
+        """Reserve memory.
 
         Args:
           backend: A Backend.
           order: A HoldOrder.
-          on_done: A function of a bool, whether the memory is held.
+          on_done: A function of a bool, whether the memory is reserved.
         """
 
     @abc.abstractmethod
     def release(self, backend, group, on_done):
-        """Free what a group holds on an engine.
+        """Free the memory that a group has reserved on an engine.
 
         Args:
           backend: A Backend.
           group: The group's id.
-          on_done: A function of a bool, whether the engine answered.
+          on_done: A function of a bool, whether the engine responded.
         """
 
     @abc.abstractmethod
     def prefill(self, backend, order, on_done):
-        """Prefill a segment and keep it for import.
+        """Prefill a segment and retain its KV cache for import.
 
         Args:
           backend: A Backend.
           order: A SegmentOrder.
-          on_done: A function of a SegmentExport, or of None on a failure.
+          on_done: A function of a SegmentExport, or of None on failure.
         Returns:
-          An object whose cancel() gives the order up.
+          An object whose cancel() cancels the order.
         """
 
 
 class RequestSink(abc.ABC):
-    """Where the answer of a completion goes; one end is told."""
+    """Receives the answer of a completion, and exactly one end."""
 
     @abc.abstractmethod
     def on_tokens(self, offset, tokens):
-        """Take the next tokens.
+        """Handle the next tokens.
 
         Args:
-          offset: The index of the first of them.
+          offset: The index of the first token.
           tokens: A list of strings.
         """
 
     @abc.abstractmethod
     def on_end(self, count):
-        """Take the end of a whole answer.
+        """Handle the end of a complete answer.
 
         Args:
-          count: How many tokens the answer has.
+          count: The number of tokens in the answer.
         """
 
     @abc.abstractmethod
     def on_refused(self, refusal):
-        """Take any other end.
+        """Handle any other end.
 
         Args:
           refusal: A Refusal.
