--- a/crankchute/ports/forwarding.py
+++ b/crankchute/ports/forwarding.py
@@ -1,24 +1,24 @@
-"""What the forwarding engine asks of backend servers and of callers.
+"""Interfaces of request forwarding, to backend servers and to callers.
 
-A request is opaque to the engine: it is sent as it came and its answer is
-passed on as it comes.  Only what decides about retries is told apart: heads,
-whole events of a stream, the end, and the kinds of failure.
+Requests and answers are forwarded unchanged.  The interfaces distinguish only
+what decides about retries: the head of an answer, complete events of a stream,
+the end, and the kinds of failure.
 """
 
 import abc
 
 
-#: The code of a rejection by another server that has the address now.
+#: Rejection code: another server has taken over the address.
 MOVED = 'moved'
 
 
 class AnswerHead:
-    """The head of a backend server's answer.
+    """The status and headers of a backend server's answer.
 
     Attributes:
       status: The HTTP status, an int.
-      headers: Pairs of name and text, without those of one connection only.
-      load: The SeenLoad that the server told with it, or None.
+      headers: Pairs of name and text, without hop-by-hop headers.
+      load: The SeenLoad that the server reported in the answer, or None.
     """
 
     __slots__ = ('headers', 'load', 'status')
@@ -37,16 +37,16 @@
 
     @property
     def is_success(self):
-        """Whether the answer is a success, a bool."""
+        """Whether the status is a success."""
         return 200 <= self.status < 300  # noqa: WPS432  (the 2xx statuses)
 
 
 class StreamEvent:
-    """One whole event of a stream.
+    """One complete event of a stream.
 
     Attributes:
       number: The event's id, an int, or None if it has none.
-      payload: The event's bytes as they came.
+      payload: The unmodified bytes of the event.
     """
 
     __slots__ = ('number', 'payload')
@@ -63,27 +63,27 @@
 
 
 class AttemptListener(abc.ABC):
-    """Is told how one attempt at one backend server goes; one end is told."""
+    """Receives the progress of an attempt at a server, and exactly one end."""
 
     @abc.abstractmethod
     def on_head(self, head):
-        """Take an AnswerHead."""
+        """Handle the AnswerHead."""
 
     @abc.abstractmethod
     def on_body(self, chunk):
-        """Take a part of the body of an answer that is no stream."""
+        """Handle a chunk of the body of an answer that is not a stream."""
 
     @abc.abstractmethod
     def on_event(self, event):
-        """Take a StreamEvent."""
+        """Handle a StreamEvent."""
 
     @abc.abstractmethod
     def on_end(self):
-        """Take the end of a whole answer."""
+        """Handle the end of a complete answer."""
 
     @abc.abstractmethod
     def on_not_run(self, rejection):
-        """Take the server's word that the request did not run there.
+        """Handle a rejection: the server did not run the request.
 
         Args:
           rejection: A Rejection.
@@ -91,18 +91,18 @@
 
     @abc.abstractmethod
     def on_failed(self, exc):
-        """Take a BackendError; its `sent` is False if nothing left."""
+        """Handle a BackendError; `sent` is False if nothing was sent."""
 
 
 class Rejection:
-    """A backend server's word that it did not run a request.
+    """A response by which a backend server states that a request did not run.
 
     Attributes:
-      code: A short identifier: "full", "moved" (another server has the
-        address) or "rejected".
-      at_server: The address or id of the server at fault, or None if it is
-        the one that was asked.
-      retry_after_ms: When it may be asked again, or None.
+      code: A short identifier: "full", "moved" (another server has taken over
+        the address) or "rejected".
+      at_server: The address or id of the server that rejected the request, or
+        None if it is the server that received the request.
+      retry_after_ms: Milliseconds after which to retry there, or None.
     """
 
     __slots__ = ('at_server', 'code', 'retry_after_ms')
@@ -121,7 +121,7 @@
 
 
 class ForwardPort(abc.ABC):
-    """Sends requests to backend servers; answers come later, on the loop."""
+    """Sends requests to backend servers; callbacks run on the event loop."""
 
     @abc.abstractmethod
     def send(self, job, placement, attempt, listener):
@@ -133,14 +133,14 @@
           attempt: An AttemptOrder.
           listener: An AttemptListener.
         Returns:
-          An object whose cancel() gives the attempt up, and whose `sent`
-          tells whether any byte of it may have left.
+          An object whose cancel() cancels the attempt, and whose `sent` is
+          whether any byte of the request may have been sent.
         """
 
     def is_connected(self, _backend):
-        """Tell whether a connection to a server is open and rests.
+        """Return whether an idle connection to a server is open.
 
-        An adapter that does not keep connections has none.
+        The default implementation is for adapters without a connection pool.
 
         Args:
           _backend: A Backend.
@@ -148,19 +148,18 @@
         return False
 
     def ask_listening(self, _backend, on_known):
-        """Find out whether a server's process still runs.
+        """Check whether a process still listens at a server's address.
 
-        An adapter that cannot tell does not know.
+        The default implementation reports None.
 
         Args:
           _backend: A Backend.
-          on_known: A function of True, of False if nobody listens at the
-            server's address, or of None if that is not known.
+          on_known: A function of True, False, or None if it is unknown.
         """
         on_known(None)
 
     def forget(self, _backend):
-        """Close the connections that rest at a server that is no more.
+        """Close the idle connections to a server that was removed.
 
         Args:
           _backend: A Backend.
@@ -168,11 +167,11 @@
 
 
 class AnswerSink(abc.ABC):
-    """Where the answer of a forwarded request goes; one end is told."""
+    """Receives the answer of a forwarded request, and exactly one end."""
 
     @abc.abstractmethod
     def on_answer(self, head, body):
-        """Take a whole answer that is no stream.
+        """Handle a complete answer that is not a stream.
 
         Args:
           head: An AnswerHead.
@@ -181,19 +180,19 @@
 
     @abc.abstractmethod
     def on_head(self, head):
-        """Take the AnswerHead of a stream; events follow."""
+        """Handle the AnswerHead of a stream; events follow."""
 
     @abc.abstractmethod
     def on_event(self, event):
-        """Take the next StreamEvent."""
+        """Handle the next StreamEvent."""
 
     @abc.abstractmethod
     def on_end(self):
-        """Take the end of a whole stream."""
+        """Handle the end of a complete stream."""
 
     @abc.abstractmethod
     def on_refused(self, refusal):
-        """Take any other end, also in the middle of a stream.
+        """Handle any other end, which can be in the middle of a stream.
 
         Args:
           refusal: A Refusal.
