--- a/crankchute/ports/http.py
+++ b/crankchute/ports/http.py
@@ -1,23 +1,23 @@
-"""What a part that calls a backend over HTTP is told of the response."""
+"""Interface of the HTTP client to the receivers of responses."""
 
 import abc
 
 
 class ResponseSink(abc.ABC):
-    """Receives a response as it comes; exactly one end is told."""
+    """Receives a response incrementally, and exactly one end."""
 
     @abc.abstractmethod
     def on_head(self, status, headers):
-        """Take the head.
+        """Handle the status and headers.
 
         Args:
           status: The HTTP status, an int.
-          headers: A map of names in lower case to strings.
+          headers: A map from lower-case name to string.
         """
 
     @abc.abstractmethod
     def on_body(self, chunk):
-        """Take a part of the body.
+        """Handle a chunk of the body.
 
         Args:
           chunk: Bytes.
@@ -25,19 +25,19 @@
 
     @abc.abstractmethod
     def on_done(self):
-        """Take the end of a whole response."""
+        """Handle the end of a complete response."""
 
     @abc.abstractmethod
     def on_error(self, exc):
-        """Take a failure.
+        """Handle a failure.
 
         Args:
-          exc: A BackendError; its `sent` is False if nothing left.
+          exc: A BackendError; its `sent` is False if nothing was sent.
         """
 
 
 class WholeResponse(ResponseSink):
-    """Gathers a response and hands it over when it is whole."""
+    """Buffers a response and reports it when it is complete."""
 
     __slots__ = ('_chunks', '_on_failure', '_on_response', 'headers', 'status')
 
@@ -45,7 +45,7 @@
         """Create the sink.
 
         Args:
-          on_response: A function of the status and the body's bytes.
+          on_response: A function of the status and the body, bytes.
           on_failure: A function of a BackendError.
         """
         self._on_response = on_response
