--- a/crankchute/ports/peers.py
+++ b/crankchute/ports/peers.py
@@ -1,10 +1,10 @@
-"""What the core asks of the other entry instances."""
+"""Interface of group membership to the other entry instances."""
 
 import abc
 
 
 class MembershipPorts(abc.ABC):
-    """What Membership works with.
+    """The dependencies of Membership.
 
     Attributes:
       random: A random.Random.
@@ -12,23 +12,23 @@
 
     @abc.abstractmethod
     def now_ms(self):
-        """Return the time on this process's clock."""
+        """Return the time on the clock of this process."""
 
     @abc.abstractmethod
     def probe(self, member, on_done):
-        """Send a probe with updates.
+        """Send a probe that carries membership updates.
 
         Args:
           member: The Member to probe.
-          on_done: A function of a bool, whether it answered in time.
+          on_done: A function of a bool, whether the member responded in time.
         """
 
     @abc.abstractmethod
     def probe_through(self, helper, member, on_done):
-        """Ask a helper to probe a member.
+        """Probe a member indirectly, through another member.
 
         Args:
-          helper: The Member that is asked.
-          member: The Member that is probed.
-          on_done: A function of a bool, whether the member answered.
+          helper: The Member that sends the probe.
+          member: The Member to probe.
+          on_done: A function of a bool, whether the member responded.
         """
