--- a/crankchute/ports/time.py
+++ b/crankchute/ports/time.py
@@ -1,18 +1,18 @@
-"""What the core needs to know of time: a clock and a timer service."""
+"""Interfaces for time: a clock and a timer service."""
 
 import abc
 
 
 class Clock(abc.ABC):
-    """Time that never goes back and counts the time a process was paused."""
+    """A monotonic clock that includes the time a process was suspended."""
 
     @abc.abstractmethod
     def now_ms(self):
-        """Return the milliseconds since this clock was made, as a float."""
+        """Return the milliseconds since the clock was created, a float."""
 
 
 class Subscription:
-    """A callback that waits for its time; it can be cancelled once."""
+    """A scheduled callback that can be cancelled."""
 
     __slots__ = ('_callback',)
 
@@ -25,73 +25,73 @@
         self._callback = callback
 
     def cancel(self):
-        """Forget the callback; a later run does nothing."""
+        """Drop the callback; a later run does nothing."""
         self._callback = None
 
     def run(self):
-        """Run the callback unless it was cancelled, and forget it."""
+        """Run the callback once, unless it was cancelled."""
         callback = self._callback
         self._callback = None
         if callback is not None:
             callback()
 
 
-class Repetition:
-    """A callback that runs at an interval until it is cancelled."""
+class PeriodicTimer:
+    """Runs a callback periodically until it is cancelled."""
 
     __slots__ = ('_callback', '_interval_ms', '_pending', '_timers')
 
     def __init__(self, timers, interval_ms, callback):
-        """Start repeating.
+        """Start the timer.
 
         Args:
-          timers: The TimerService to wait on.
-          interval_ms: Milliseconds between two runs.
+          timers: The TimerService.
+          interval_ms: The period in milliseconds.
           callback: A function without arguments.
         """
         self._timers = timers
         self._interval_ms = interval_ms
         self._callback = callback
-        self._pending = timers.after(interval_ms, self._tick)
+        self._pending = timers.after(interval_ms, self._run)
 
     def cancel(self):
-        """Stop repeating."""
+        """Stop the timer."""
         self._pending.cancel()
         self._callback = None
 
-    def _tick(self):
+    def _run(self):
         if self._callback is None:
             return
-        self._pending = self._timers.after(self._interval_ms, self._tick)
+        self._pending = self._timers.after(self._interval_ms, self._run)
         self._callback()
 
 
 class TimerService(abc.ABC):
-    """Runs callbacks later, on the thread of the loop."""
+    """Schedules callbacks on the thread of the event loop."""
 
     @property
     @abc.abstractmethod
     def clock(self):
-        """The Clock that the service goes by."""
+        """The Clock of the timers."""
 
     @abc.abstractmethod
     def after(self, delay_ms, callback):
-        """Run a callback once.
+        """Run a callback once, after a delay.
 
         Args:
-          delay_ms: Milliseconds from now.
+          delay_ms: The delay in milliseconds.
           callback: A function without arguments.
         Returns:
           A Subscription that can be cancelled.
         """
 
     def every(self, interval_ms, callback):
-        """Run a callback at an interval, the first time after one interval.
+        """Run a callback periodically, first after one interval.
 
         Args:
-          interval_ms: Milliseconds between two runs.
+          interval_ms: The period in milliseconds.
           callback: A function without arguments.
         Returns:
-          A Repetition that can be cancelled.
+          A PeriodicTimer that can be cancelled.
         """
-        return Repetition(self, interval_ms, callback)
+        return PeriodicTimer(self, interval_ms, callback)
