--- a/crankchute/commands/load_run.py
+++ b/crankchute/commands/load_run.py
@@ -1,4 +1,4 @@
-"""`crankchute load`: send a mix of requests and measure what comes back."""
+"""`crankchute load`: send a mix of requests and measure the responses."""
 
 import sys
 from pathlib import Path
@@ -14,23 +14,23 @@
     add_flags,
     read_address,
     read_count,
-    read_flag,
+    read_yes_no,
     read_name,
     read_settings,
 )
 
 
 def read_rate(text):
-    """Read a number above zero.
+    """Parse a positive number.
 
     Args:
       text: The text.
     Raises:
-      ValueError: If it is not one.
+      ValueError: If the text is not a positive number.
     """
     rate = float(text)
     if not 0 < rate < float('inf'):
-        raise ValueError('is not a number above 0')
+        raise ValueError('is not a positive number')
     return rate
 
 
@@ -41,56 +41,64 @@
         'IP:port of entry instances, separated by commas',
         is_list=True,
     ),
-    Setting('model', read_name, 'model that is asked', 'small'),
-    Setting('rate', read_rate, 'requests a second, open loop', '10'),
-    Setting('duration-s', read_rate, 'seconds in which requests start', '10'),
-    Setting('seed', read_count, 'one seed gives one plan', '1'),
+    Setting('model', read_name, 'model for completions', 'small'),
+    Setting('rate', read_rate, 'requests per second, open loop', '10'),
+    Setting(
+        'duration-s',
+        read_rate,
+        'seconds during which requests are started',
+        '10',
+    ),
+    Setting('seed', read_count, 'random seed of the load plan', '1'),
     Setting(
         'check-answers',
-        read_flag,
-        'whether answers are those of the engine stand-in',
+        read_yes_no,
+        'compare the answers with those of the simulated engine',
         'no',
     ),
     Setting(
         'alone',
-        read_flag,
-        'whether to measure each band alone first, for the slowdown',
+        read_yes_no,
+        'first measure each length band without load, as the baseline of '
+        'the slowdown',
         'yes',
     ),
 )
 
 
 def add_parser(subparsers):
-    """Add the command's parser."""
+    """Add the parser of this command."""
     parser = subparsers.add_parser(
         'load',
-        help='send a mix of requests and measure',
-        description='Send a mix of requests, open loop, and print time to '
-        'first token and slowdown by length band as JSON.',
+        help='send a mix of requests and measure the responses',
+        description='Send a mix of requests in an open loop and print the '
+        'time to first token and the slowdown by length band as JSON.',
     )
-    parser.add_argument('mix', help='JSON file of the mix, see REFERENCE.md')
+    parser.add_argument('mix', help='JSON file with the mix; see REFERENCE.md')
     add_flags(parser, SETTINGS)
-    parser.add_argument('--plot', metavar='PNG', help='draw the result')
+    parser.add_argument(
+        '--plot', metavar='PNG', help='plot the result to this file'
+    )
     parser.set_defaults(run=run)
 
 
 def run(flags, environ):
-    """Run the command; see main."""
+    """Run the command and return its exit code."""
     settings = read_settings(SETTINGS, flags, environ)
-    parts = read_mix(_read_file(flags.mix), flags.mix)
+    mix = read_mix(_read_file(flags.mix), flags.mix)
     runner = LoadRunner(
         settings.seeds,
         settings.model,
         checks_answers=settings.check_answers,
     )
-    alone_ms = runner.measure_alone(parts) if settings.alone else {}
+    baseline_ms = runner.measure_alone(mix) if settings.alone else {}
     arrivals = plan_arrivals(
-        parts,
+        mix,
         settings.rate,
         settings.duration_s,
         settings.seed,
     )
-    report = runner.run(arrivals, alone_ms)
+    report = runner.run(arrivals, baseline_ms)
     document = report.summarise()
     text = orjson.dumps(document, option=orjson.OPT_INDENT_2)
     sys.stdout.write(f'{text.decode()}\n')
--- a/crankchute/settings.py
+++ b/crankchute/settings.py
@@ -1,7 +1,8 @@
-"""Settings of processes: flags, environment variables, findings together.
+"""Settings of processes, from flags and environment variables.
 
-Each flag `--some-name` can be given as the variable CRANKCHUTE_SOME_NAME; a
-flag goes before a variable.  All values are checked before any is used.
+Each flag `--some-name` can also be set by the environment variable
+CRANKCHUTE_SOME_NAME; the flag takes precedence.  All settings are validated
+together, so that one run reports every finding.
 """
 
 import ipaddress
@@ -9,25 +10,25 @@
 
 from crankchute.errors import Finding, SettingsError
 
-_PREFIX = 'CRANKCHUTE_'
-_LARGEST_PORT = 65_535
-_NAME = re.compile('[a-z0-9][a-z0-9-]{0,62}')
+_ENVIRONMENT_PREFIX = 'CRANKCHUTE_'
+_MAX_PORT = 65_535
+_NAME_PATTERN = re.compile('[a-z0-9][a-z0-9-]{0,62}')
 
 
 class Setting:
-    """One setting: its flag, its reader, and what it is for."""
+    """The definition of a setting: its name, parser and help text."""
 
     __slots__ = ('default', 'help_text', 'is_list', 'name', 'read')
 
     def __init__(self, name, read, help_text, default=None, *, is_list=False):
-        """Create a setting.
+        """Create a definition.
 
         Args:
-          name: The flag without its dashes.
-          read: A function from text to value; raises ValueError.
-          help_text: A sentence for people.
-          default: The text used if nothing is given; None if one is required.
-          is_list: Whether the text is a list separated by commas.
+          name: The flag without the leading dashes.
+          read: A function from text to value that may raise ValueError.
+          help_text: The help text of the flag.
+          default: The default as text; None if the setting is required.
+          is_list: Whether the text is a comma-separated list.
         """
         self.name = name
         self.read = read
@@ -36,23 +37,23 @@
         self.is_list = is_list
 
     @property
-    def environment_name(self):
+    def environment_variable(self):
         """The name of the environment variable."""
-        upper = self.name.upper().replace('-', '_')
-        return f'{_PREFIX}{upper}'
+        upper_name = self.name.upper().replace('-', '_')
+        return f'{_ENVIRONMENT_PREFIX}{upper_name}'
 
     @property
     def attribute(self):
-        """The name of the attribute that argparse and Settings use."""
+        """The name of the attribute in the argparse namespace and Settings."""
         return self.name.replace('-', '_')
 
     def read_text(self, text):
-        """Return the value of a text.
+        """Parse the text of the setting.
 
         Args:
           text: A string.
         Raises:
-          ValueError: If the text is not valid.
+          ValueError: If the text is invalid.
         """
         if not self.is_list:
             return self.read(text)
@@ -61,122 +62,124 @@
 
 
 class Settings:
-    """Checked values, one attribute for each setting."""
+    """Validated values, with one attribute for each setting."""
 
-    def __init__(self, chosen):
+    def __init__(self, values_by_name):
         """Create the settings.
 
         Args:
-          chosen: A map from attribute name to value.
+          values_by_name: A map from attribute name to value.
         """
-        for name, chosen_value in chosen.items():
-            setattr(self, name, chosen_value)
+        for name, setting_value in values_by_name.items():
+            setattr(self, name, setting_value)
 
 
 def add_flags(parser, settings):
-    """Add a flag for each setting to a parser.
+    """Add a flag to a parser for each setting.
 
     Args:
       parser: An argparse parser.
       settings: A sequence of Setting.
     """
     for setting in settings:
-        note = f'{setting.help_text} [{setting.environment_name}'
+        help_text = f'{setting.help_text} [{setting.environment_variable}'
         if setting.default is not None:
-            shown = setting.default or 'none'
-            note = f'{note}; default: {shown}'
+            default = setting.default or 'none'
+            help_text = f'{help_text}; default: {default}'
         parser.add_argument(
             f'--{setting.name}',
             dest=setting.attribute,
             metavar='VALUE',
-            help=f'{note}]'.replace('%', '%%'),
+            help=f'{help_text}]'.replace('%', '%%'),
         )
 
 
 def read_settings(settings, flags, environ):
-    """Check all settings and return them.
+    """Read and validate all settings.
 
     Args:
       settings: A sequence of Setting.
-      flags: What argparse parsed; an attribute for each setting.
-      environ: A map of environment variables.
+      flags: The argparse namespace.
+      environ: The environment variables, a map.
     Returns:
       Settings.
     Raises:
-      SettingsError: With every finding.
+      SettingsError: If settings are missing or invalid; has all findings.
     """
     findings = []
-    chosen = {}
+    values_by_name = {}
     for setting in settings:
-        place, text = _find_text(setting, flags, environ)
+        location, text = _find_text(setting, flags, environ)
         if text is None:
-            findings.append(Finding(place, 'is required'))
+            findings.append(Finding(location, 'is required'))
             continue
         try:
-            chosen[setting.attribute] = setting.read_text(text)
+            values_by_name[setting.attribute] = setting.read_text(text)
         except ValueError as exc:
-            findings.append(Finding(place, f'{text!r}: {exc}'))
+            findings.append(Finding(location, f'{text!r}: {exc}'))
     if findings:
         raise SettingsError(findings)
-    return Settings(chosen)
+    return Settings(values_by_name)
 
 
 def read_address(text):
-    """Read "IP:port".
+    """Parse an "IP:port" pair.
 
     Args:
       text: The text.
     Returns:
-      A pair of IP number and port.
+      A pair of IPv4 address, a string, and port, an int.
     Raises:
-      ValueError: If it is not an IP number and a port.
+      ValueError: If the text is not an IPv4 address and a port.
     """
     host, separator, port = text.rpartition(':')
     if not separator:
         raise ValueError('is not IP:port')
     ipaddress.IPv4Address(host)
-    number = read_count(port)
-    if number > _LARGEST_PORT:
-        raise ValueError('the port is over 65535')
-    return host, number
+    port_number = read_count(port)
+    if port_number > _MAX_PORT:
+        raise ValueError('the port is above 65535')
+    return host, port_number
 
 
 def read_count(text):
-    """Read a whole number that is not negative.
+    """Parse a non-negative integer.
 
     Args:
       text: The text.
     Raises:
-      ValueError: If it is not one.
+      ValueError: If the text is not a non-negative integer.
     """
     if not (text.isascii() and text.isdigit()):
-        raise ValueError('is not a whole number')
+        raise ValueError('is not a non-negative integer')
     return int(text)
 
 
 def read_name(text):
-    """Read a name of lower case letters, digits and dashes.
+    """Validate a name of lower-case letters, digits and dashes.
 
     Args:
       text: The text.
     Raises:
-      ValueError: If it is not one.
+      ValueError: If the text is not such a name.
     """
-    if not _NAME.fullmatch(text):
+    if not _NAME_PATTERN.fullmatch(text):
         raise ValueError('is not a name of a-z, 0-9 and dashes')
     return text
 
 
-def read_flag(text):
-    """Read "yes" or "no".
+def read_yes_no(text):
+    """Parse "yes" or "no".
 
     Args:
       text: The text.
+    Returns:
+      A bool.
     Raises:
-      ValueError: If it is neither.
+      ValueError: If the text is neither.
     """
     if text not in {'yes', 'no'}:
-        raise ValueError('is not yes or no')
+        raise ValueError('is neither yes nor no')
     return text == 'yes'
 
 
@@ -184,7 +187,7 @@
     text = getattr(flags, setting.attribute, None)
     if text is not None:
         return f'--{setting.name}', text
-    text = environ.get(setting.environment_name)
+    text = environ.get(setting.environment_variable)
     if text is not None:
-        return setting.environment_name, text
+        return setting.environment_variable, text
     return f'--{setting.name}', setting.default
