--- a/crankchute/commands/explain.py
+++ b/crankchute/commands/explain.py
@@ -1,4 +1,4 @@
-"""`crankchute explain`: the history of one request, from logs."""
+"""`crankchute explain`: print the history of a request from logs."""
 
 import re
 import sys
@@ -8,26 +8,26 @@
 from crankchute.core.log_history import LogLine, find_history, render_history
 from crankchute.errors import Finding, SettingsError
 
-#: Collectors put the time and the instance before a line.
-_COLLECTED = re.compile(r'^\s*-?[\d.]+\s+(\S+)\s+(\{.*)$')
+#: A line to which a log collector added the time and the instance.
+_COLLECTED_LINE = re.compile(r'^\s*-?[\d.]+\s+(\S+)\s+(\{.*)$')
 
 
 def add_parser(subparsers):
-    """Add the command's parser."""
+    """Add the parser of this command."""
     parser = subparsers.add_parser(
         'explain',
-        help='print the history of one request from logs',
+        help='print the history of a request from logs',
     )
-    parser.add_argument('request', help="the request's id")
-    parser.add_argument('files', nargs='+', help='logs of instances')
+    parser.add_argument('request', help='id or fingerprint of the request')
+    parser.add_argument('files', nargs='+', help='log files of instances')
     parser.set_defaults(run=run)
 
 
 def run(flags, _environ):
-    """Run the command; see main."""
+    """Run the command and return its exit code."""
     history = find_history(read_logs(flags.files), flags.request)
     if not history.lines:
-        sys.stderr.write(f'{flags.request}: in none of the logs\n')
+        sys.stderr.write(f'{flags.request}: not found in the logs\n')
         return 1
     for text in render_history(history):
         sys.stdout.write(f'{text}\n')
@@ -35,12 +35,12 @@
 
 
 def read_logs(paths):
-    """Return the lines of several logs; see read_log.
+    """Read several log files; see read_log.
 
     Args:
-      paths: The files' paths.
+      paths: The paths of the files.
     Returns:
-      A list of LogLine, each file's in order.
+      A list of LogLine, in the order of the files and their lines.
     Raises:
       SettingsError: If a file cannot be read.
     """
@@ -48,10 +48,10 @@
 
 
 def read_log(path):
-    """Return the lines of a log; what is no JSON line is passed over.
+    """Read a log file, skipping lines that are not JSON objects.
 
     Args:
-      path: The file's path.
+      path: The path of the file.
     Returns:
       A list of LogLine.
     Raises:
@@ -59,17 +59,17 @@
     """
     try:
         with open(path, encoding='utf-8', errors='replace') as log_file:
-            found = [_read_line(path, text) for text in log_file]
+            lines = [_parse_line(path, text) for text in log_file]
     except OSError as exc:
         raise SettingsError([Finding(path, str(exc))]) from exc
-    return [line for line in found if line is not None]
+    return [line for line in lines if line is not None]
 
 
-def _read_line(path, text):
+def _parse_line(path, text):
     source = path
-    collected = _COLLECTED.match(text)
-    if collected is not None:
-        source, text = collected.groups()
+    collected_match = _COLLECTED_LINE.match(text)
+    if collected_match is not None:
+        source, text = collected_match.groups()
     try:
         fields = orjson.loads(text)
     except orjson.JSONDecodeError:
--- a/crankchute/commands/losses.py
+++ b/crankchute/commands/losses.py
@@ -1,4 +1,4 @@
-"""`crankchute losses`: what was lost by which cause, from logs."""
+"""`crankchute losses`: count lost requests by cause, from logs."""
 
 import sys
 
@@ -10,56 +10,66 @@
 
 
 def add_parser(subparsers):
-    """Add the command's parser."""
+    """Add the parser of this command."""
     parser = subparsers.add_parser(
         'losses',
-        help='split what was late, refused or failed by cause',
+        help='count late, refused and failed requests by cause',
     )
-    parser.add_argument('files', nargs='+', help='logs of instances')
+    parser.add_argument('files', nargs='+', help='log files of instances')
     parser.set_defaults(run=run)
 
 
 def run(flags, _environ):
-    """Run the command; see main."""
-    stories = gather_stories(read_logs(flags.files))
-    if not stories:
-        sys.stderr.write('no request is in these logs\n')
+    """Run the command and return its exit code."""
+    traces = gather_stories(read_logs(flags.files))
+    if not traces:
+        sys.stderr.write('the logs contain no requests\n')
         return 1
-    for text in (*render_losses(stories), '', *render_predictions(stories)):
+    for text in (*render_losses(traces), '', *render_predictions(traces)):
         sys.stdout.write(f'{text}\n')
     return 0
 
 
-def render_losses(stories):
-    """Return the table of losses as lines for people.
+def render_losses(traces):
+    """Format a table of lost requests by cause.
 
     Args:
-      stories: A list of Story.
+      traces: A list of request traces.
+    Returns:
+      A list of lines.
     """
-    tokens = sum(story.tokens for story in stories)
+    tokens = sum(trace.tokens for trace in traces)
     rows = [
         f'{row.count:6} {row.after_start:11} {row.tokens / tokens:8.2%}'
         f'  {row.cause}'
-        for row in split_losses(stories)
+        for row in split_losses(traces)
     ]
-    total = f'of {len(stories)} requests with {tokens} tokens'
+    total = f'of {len(traces)} requests with {tokens} tokens'
     return [' count after start   tokens  cause', *rows, total]
 
 
-def render_predictions(stories):
-    """Return how first events compare with predictions, lines for people.
+def render_predictions(traces):
+    """Format a table of observed over predicted times to first event.
 
     Args:
-      stories: A list of Story.
+      traces: A list of request traces.
+    Returns:
+      A list of lines.
     """
-    heading = 'seen by predicted    count    p10    p50    p90'
-    found = compare_predictions(stories)
-    return [heading, *(_render_ratios(*one) for one in sorted(found.items()))]
+    heading = 'observed/predicted   count    p10    p50    p90'
+    ratios = compare_predictions(traces)
+    return [
+        heading,
+        *(_render_ratios(*group) for group in sorted(ratios.items())),
+    ]
 
 
-def _render_ratios(name, ratios):
-    band, is_after_start = name
+def _render_ratios(group, ratios):
+    band, is_after_start = group
     label = f'{band}, started' if is_after_start else band
-    last = len(ratios) - 1
-    shown = ' '.join(f'{ratios[round(last * at)]:6.2f}' for at in _QUANTILES)
-    return f'{label:20} {len(ratios):5} {shown}'
+    last_index = len(ratios) - 1
+    quantiles = ' '.join(
+        f'{ratios[round(last_index * quantile)]:6.2f}'
+        for quantile in _QUANTILES
+    )
+    return f'{label:20} {len(ratios):5} {quantiles}'
