--- a/crankchute/commands/__init__.py
+++ b/crankchute/commands/__init__.py
@@ -1,1 +1,1 @@
-"""The command line, a module for each command."""
+"""Command-line interface, with one module per command."""
--- a/crankchute/commands/call.py
+++ b/crankchute/commands/call.py
@@ -1,4 +1,4 @@
-"""`crankchute call`: ask for a completion, or call a plain service."""
+"""`crankchute call`: request a completion or call a plain service."""
 
 import sys
 from pathlib import Path
@@ -26,19 +26,26 @@
     ),
     Setting('account', read_name, 'client account'),
     Setting('class', read_name, 'workload class'),
-    Setting('deadline-ms', read_count, 'time for the whole call', '30000'),
-    Setting('model', read_name, 'model of a completion', 'small'),
-    Setting('max-tokens', read_count, 'length of the answer', '16'),
+    Setting(
+        'deadline-ms',
+        read_count,
+        'timeout of the call in milliseconds',
+        '30000',
+    ),
+    Setting('model', read_name, 'model for a completion', 'small'),
+    Setting(
+        'max-tokens', read_count, 'maximum number of tokens in the answer', '16'
+    ),
 )
 
 
 def add_parser(subparsers):
-    """Add the command's parser."""
+    """Add the parser of this command."""
     parser = subparsers.add_parser(
         'call',
-        help='send a prompt, or call a plain service',
-        description='Send a prompt from a file or standard input, or, with '
-        '--service, call a plain service.',
+        help='send a prompt or call a plain service',
+        description='Send a prompt from a file or standard input; with '
+        '--service, call a plain service instead.',
     )
     add_flags(parser, SETTINGS)
     parser.add_argument(
@@ -46,16 +53,18 @@
         nargs='?',
         default=_STDIN,
         metavar='FILE',
-        help='the prompt or body; - reads standard input',
+        help='file with the prompt or request body; - for standard input',
+    )
+    parser.add_argument(
+        '--service', metavar='POOL', help='pool of the service to call'
     )
-    parser.add_argument('--service', metavar='POOL', help='pool to call')
     parser.add_argument('--method', default='POST', help='HTTP method')
-    parser.add_argument('--path', default='/', help='path at the service')
+    parser.add_argument('--path', default='/', help='path on the service')
     parser.set_defaults(run=run)
 
 
 def run(flags, environ):
-    """Run the command; see main."""
+    """Run the command and return its exit code."""
     settings = read_settings(SETTINGS, flags, environ)
     options = CallOptions(
         getattr(settings, 'class'),
@@ -65,12 +74,12 @@
     )
     session = Session(settings.seeds, settings.account)
     if flags.service is None:
-        end = session.complete(_read_source(flags.source), options)
-        shown = end.text
+        call_result = session.complete(_read_source(flags.source), options)
+        output = call_result.text
     else:
-        end = session.call_service(_read_request(flags), options)
-        shown = end.body.decode(errors='replace')
-    return _report(end, shown)
+        call_result = session.call_service(_read_request(flags), options)
+        output = call_result.body.decode(errors='replace')
+    return _print_result(call_result, output)
 
 
 def _read_request(flags):
@@ -89,14 +98,15 @@
         raise SettingsError([Finding(source, str(exc))]) from exc
 
 
-def _report(end, shown):
-    if end.is_ok:
-        sys.stdout.write(f'{shown}\n')
+def _print_result(call_result, output):
+    if call_result.is_ok:
+        sys.stdout.write(f'{output}\n')
         return 0
     hint = ''
-    if end.retry_after_ms is not None:
-        hint = f'; ask again after {round(end.retry_after_ms)} ms'
+    if call_result.retry_after_ms is not None:
+        hint = f'; retry after {round(call_result.retry_after_ms)} ms'
     sys.stderr.write(
-        f'{end.outcome.value}: {end.code}: {end.message}{hint}\n',
+        f'{call_result.outcome.value}: {call_result.code}: '
+        f'{call_result.message}{hint}\n',
     )
     return 1
--- a/crankchute/commands/check.py
+++ b/crankchute/commands/check.py
@@ -1,6 +1,6 @@
-"""`crankchute check`: validate a configuration, and print every finding.
+"""`crankchute check`: validate a configuration and print all findings.
 
-The documents are files named as their keys: `models.json`, `pools.json`,
+Each document is a file named after its key: `models.json`, `pools.json`,
 `classes.json`, `policy.json`, and `accounts.json` or `accounts/NAME.json`.
 """
 
@@ -14,19 +14,19 @@
 
 
 def add_parser(subparsers):
-    """Add the command's parser."""
+    """Add the parser of this command."""
     parser = subparsers.add_parser(
         'check',
         help='validate a configuration',
-        description='Validate the documents in a folder and print every '
-        'finding with its place.',
+        description='Validate the documents in a directory and print each '
+        'finding with its location.',
     )
-    parser.add_argument('folder', help='folder of JSON documents')
+    parser.add_argument('folder', help='directory of JSON documents')
     parser.set_defaults(run=run)
 
 
 def run(flags, _environ):
-    """Run the command; see main."""
+    """Run the command and return its exit code."""
     config = load_config(1, read_folder(flags.folder))
     sys.stdout.write(
         f'valid: {len(config.pools)} pools, {len(config.classes)} classes, '
@@ -36,14 +36,14 @@
 
 
 def read_folder(folder):
-    """Read the documents of a folder.
+    """Read the configuration documents in a directory.
 
     Args:
-      folder: The folder's path.
+      folder: The path of the directory.
     Returns:
       A map from key to bytes.
     Raises:
-      ConfigError: If there is none, or one cannot be read.
+      ConfigError: If there are no documents, or one cannot be read.
     """
     root = Path(folder)
     documents = {}
@@ -55,7 +55,7 @@
         except OSError as exc:
             findings.append(Finding(str(path), str(exc)))
     if not documents and not findings:
-        findings.append(Finding(folder, 'holds no JSON documents'))
+        findings.append(Finding(folder, 'contains no JSON documents'))
     if findings:
         raise ConfigError(findings)
     return documents
--- a/crankchute/commands/dump_state.py
+++ b/crankchute/commands/dump_state.py
@@ -13,7 +13,7 @@
 
 
 def add_parser(subparsers):
-    """Add the command's parser."""
+    """Add the parser of this command."""
     parser = subparsers.add_parser(
         'dump',
         help='print the state of a running process',
@@ -22,13 +22,13 @@
     parser.add_argument(
         '--path',
         default='/v1/state',
-        help='what to ask for (default: %(default)s)',
+        help='path to request (default: %(default)s)',
     )
     parser.set_defaults(run=run)
 
 
 def run(flags, _environ):
-    """Run the command; see main."""
+    """Run the command and return its exit code."""
     try:
         address = read_address(flags.address)
     except ValueError as exc:
@@ -47,10 +47,10 @@
     """Return the JSON document at a path.
 
     Args:
-      address: A pair of IP number and port.
-      path: The path.
+      address: A pair of IP address and port.
+      path: The path of the URL.
     Raises:
-      OSError: If the process cannot be asked.
+      OSError: If the connection fails.
     """
     with closing(HTTPConnection(*address, timeout=_TIMEOUT_S)) as conn:
         conn.request('GET', path)
--- a/crankchute/commands/main.py
+++ b/crankchute/commands/main.py
@@ -1,4 +1,4 @@
-"""The command line: finds the command and hands it its arguments."""
+"""Parses the command line and runs the command."""
 
 import argparse
 import os
@@ -16,8 +16,8 @@
 )
 from crankchute.errors import FindingsError
 
-EXIT_BAD_INPUT = 2
-_COMMANDS = (
+EXIT_INVALID_INPUT = 2
+_COMMAND_MODULES = (
     entry,
     call,
     check,
@@ -29,18 +29,18 @@
 )
 
 
-def make_parser():
-    """Return the parser of the whole command line."""
+def create_parser():
+    """Create the parser of all commands."""
     parser = argparse.ArgumentParser(
         prog='crankchute',
-        description='A serving layer for prompts of every length.',
+        description='A proxy that serves prompts of any length.',
     )
     subparsers = parser.add_subparsers(
         dest='command',
         required=True,
         metavar='COMMAND',
     )
-    for module in _COMMANDS:
+    for module in _COMMAND_MODULES:
         module.add_parser(subparsers)
     return parser
 
@@ -49,19 +49,18 @@
     """Run a command.
 
     Args:
-      arguments: The words after the program's name; those of the process if
-        None.
+      arguments: The command-line arguments; None for `sys.argv[1:]`.
     Returns:
-      The exit code: 0 if all went well, 1 if a call or a process failed, 2 if
-      the input is wrong.
+      The exit code: 0 for success, 1 if a call or a process failed, 2 if the
+      input is invalid.
     """
-    flags = make_parser().parse_args(arguments)
+    flags = create_parser().parse_args(arguments)
     try:
         return flags.run(flags, os.environ)
     except FindingsError as exc:
         for finding in exc.findings:
             sys.stderr.write(f'{finding}\n')
-        return EXIT_BAD_INPUT
+        return EXIT_INVALID_INPUT
 
 
 if __name__ == '__main__':
--- a/crankchute/commands/standin.py
+++ b/crankchute/commands/standin.py
@@ -1,4 +1,4 @@
-"""`crankchute standin`: run a stand-in of an outside system."""
+"""`crankchute standin`: run a simulated external system."""
 
 from crankchute.daemons.standin import (
     ENGINE_SETTINGS,
@@ -18,20 +18,20 @@
 
 
 def add_parser(subparsers):
-    """Add the command's parser."""
+    """Add the parser of this command."""
     parser = subparsers.add_parser(
         'standin',
-        help='run a stand-in of an outside system',
+        help='run a simulated platform, engine or service',
     )
     kinds = parser.add_subparsers(dest='kind', required=True, metavar='KIND')
-    for name, settings, start in _KINDS:
-        kind = kinds.add_parser(name, help=f'run a {name} stand-in')
+    for name, settings, run_simulator in _KINDS:
+        kind = kinds.add_parser(name, help=f'run a {name} simulator')
         add_flags(kind, settings)
-        kind.set_defaults(run=_make_run(settings, start))
+        kind.set_defaults(run=_make_run(settings, run_simulator))
 
 
-def _make_run(settings, start):
+def _make_run(settings, run_simulator):
     def run(flags, environ):
-        return start(read_settings(settings, flags, environ))
+        return run_simulator(read_settings(settings, flags, environ))
 
     return run
