--- a/crankchute/daemons/__init__.py
+++ b/crankchute/daemons/__init__.py
@@ -1,1 +1,1 @@
-"""Thin processes over the library."""
+"""Processes that run the components of the library."""
--- a/crankchute/daemons/entry.py
+++ b/crankchute/daemons/entry.py
@@ -1,4 +1,4 @@
-"""The entry daemon: an entry node in a process of its own."""
+"""The entry daemon: runs an entry node as a process."""
 
 import gc
 import signal
@@ -9,10 +9,10 @@
 from crankchute.settings import Setting, read_address, read_count, read_name
 
 SETTINGS = (
-    Setting('instance', read_name, 'id of this entry instance'),
-    Setting('data-centre', read_name, 'data centre of this instance'),
-    Setting('http', read_address, 'IP:port for callers'),
-    Setting('peer', read_address, 'IP:port for other entry instances'),
+    Setting('instance', read_name, 'id of the entry instance'),
+    Setting('data-centre', read_name, 'data centre of the instance'),
+    Setting('http', read_address, 'IP:port to listen on for callers'),
+    Setting('peer', read_address, 'IP:port to listen on for other instances'),
     Setting('platform', read_address, 'IP:port of the platform'),
     Setting(
         'seeds',
@@ -24,24 +24,24 @@
     Setting(
         'address-ttl-ms',
         read_count,
-        'how long callers keep an address answer',
+        'how long callers may cache an address answer, in milliseconds',
         '5000',
     ),
 )
 
 
 def run_entry(settings):
-    """Run an entry instance until it is told to stop.
+    """Run an entry instance until it receives a termination signal.
 
     Args:
-      settings: Settings, checked.
+      settings: The Settings read from SETTINGS.
     Returns:
-      The exit code, an int.
+      The exit code: 0, or 1 if the instance could not start.
     """
     settings.http_address = settings.http
-    settings.http_address_text = _write_address(settings.http)
+    settings.http_address_text = _format_address(settings.http)
     settings.peer_address = settings.peer
-    settings.peer_address_text = _write_address(settings.peer)
+    settings.peer_address_text = _format_address(settings.peer)
     start_log()
     loop = Loop()
     try:
@@ -57,6 +57,6 @@
     return 0
 
 
-def _write_address(address):
+def _format_address(address):
     host, port = address
     return f'{host}:{port}'
