--- a/crankchute/__init__.py
+++ b/crankchute/__init__.py
@@ -1,1 +1,1 @@
-"""A serving layer for prompts of very unlike lengths on one engine fleet."""
+"""A proxy that serves prompts of widely varying length on shared engines."""
--- a/crankchute/__main__.py
+++ b/crankchute/__main__.py
@@ -1,4 +1,4 @@
-"""Lets `python -m crankchute` run the command line."""
+"""Entry point of `python -m crankchute`."""
 
 import sys
 
--- a/crankchute/ports/__init__.py
+++ b/crankchute/ports/__init__.py
@@ -1,1 +1,1 @@
-"""What the core needs from outside, as abstract classes."""
+"""Interfaces between the core and its adapters, as abstract classes."""
