--- a/crankchute/client/caller.py
+++ b/crankchute/client/caller.py
@@ -8,7 +8,7 @@
 import random
 
 from crankchute.adapters.http_client import HttpClient
-from crankchute.client.address_book import AddressCache
+from crankchute.client.address_cache import AddressCache
 from crankchute.client.completion_call import CompletionCall
 from crankchute.client.service_call import ServiceCall
 
