--- a/crankchute/platform/__init__.py
+++ b/crankchute/platform/__init__.py
@@ -1,6 +1,7 @@
-"""The adapter to the users' platform; only this folder knows its names.
+"""Adapters between the core and the platform that the system is deployed on.
 
-Every module decodes or encodes one thing and decides nothing: settings, the
-store's documents, requests, calls of backend servers, answers, and the
-questions of callers and of the platform about this instance.
+Only this package uses the names of the platform's wire formats.  Its modules
+translate and leave decisions to the core: settings, documents of the store,
+requests, calls of backend servers, responses, address lookups and health
+checks.
 """
--- a/crankchute/platform/__main__.py
+++ b/crankchute/platform/__main__.py
@@ -1,7 +1,7 @@
-"""The daemon of an instance on the platform.
+"""Command that runs an instance on the platform.
 
-Its addresses are listened on before the libraries are imported, which takes a
-quarter of a second: callers that come meanwhile wait instead of being refused.
+The listening sockets are opened before the slow imports, so that connections
+made during start-up wait in the backlog instead of being refused.
 """
 
 import argparse
@@ -23,32 +23,32 @@
     Setting(
         'metrics-port',
         read_count,
-        'port for metrics and the state of the process',
+        'port of the metrics and debug pages',
         '9464',
     ),
 )
 
 
 def main(arguments=None):
-    """Run an instance until it is told to stop.
+    """Run an instance until it is signalled to stop.
 
     Args:
-      arguments: The words after the program's name; those of the process if
-        None.
+      arguments: Command-line arguments without the program's name; by
+        default those of the process.
     Returns:
-      The exit code: 0 after a stop, 1 if an address is taken, 2 if the
-      settings are wrong.
+      The exit code: 0 after a stop, 1 if an address cannot be bound, 2 if the
+      settings are invalid.
     """
     parser = argparse.ArgumentParser(description=__doc__)
     add_flags(parser, _FLAGS)
     flags = parser.parse_args(arguments)
     try:
-        own = read_settings(_FLAGS, flags, os.environ)
+        process_settings = read_settings(_FLAGS, flags, os.environ)
         settings = load_settings()
     except SettingsError as exc:
         sys.stderr.write(f'{exc}\n')
         return EXIT_BAD_INPUT
-    settings.listeners.set_metrics_port(own.metrics_port)
+    settings.listeners.set_metrics_port(process_settings.metrics_port)
     try:
         sockets = listen_on(settings.listeners.addresses())
     except OSError as exc:
@@ -58,7 +58,7 @@
 
 
 def _run(settings, sockets):
-    # Imported here, so that the sockets above are open before.
+    # Imported late, so that the sockets are open before these slow imports.
     from crankchute.adapters.log import start_log  # noqa: WPS433
     from crankchute.platform.run import run_instance  # noqa: WPS433
 
--- a/crankchute/platform/directory.py
+++ b/crankchute/platform/directory.py
@@ -1,4 +1,4 @@
-"""Questions about this instance: where to go, and whether it is ready."""
+"""HTTP handlers for address lookups and readiness checks."""
 
 from http import HTTPStatus
 from urllib.parse import parse_qs
@@ -9,34 +9,34 @@
 _MS_PER_SECOND = 1000
 
 
-class Directory:
-    """Answers callers that ask which instances to use."""
+class DirectoryHandler:
+    """Tells callers the addresses of the instances to use."""
 
-    def __init__(self, choose, ttl_ms):
-        """Create the directory.
+    def __init__(self, choose_addresses, ttl_ms):
+        """Create the handler.
 
         Args:
-          choose: A function of a data centre that returns
+          choose_addresses: A function that takes a data centre and returns
             addresses, "IP:port".
-          ttl_ms: How long callers may keep an answer.
+          ttl_ms: How long callers may cache a response, in milliseconds.
         """
-        self._choose = choose
+        self._choose_addresses = choose_addresses
         self._ttl_ms = ttl_ms
 
-    def answer(self, exchange):
-        """Answer a question.
+    def respond(self, exchange):
+        """Respond to an address lookup.
 
         Args:
           exchange: A ForwardExchange.
         Raises:
-          RequestRefused: If it is no such question, or nobody can serve.
+          RequestRefused: If the path is unknown or no instance is available.
         """
-        path, _mark, query = exchange.target.partition('?')
+        path, _separator, query = exchange.target.partition('?')
         if path != RESOLVE_PATH:
-            raise _no_such_path(path)
-        asked = parse_qs(query)
-        data_centre = asked.get('zone', [''])[0]
-        addresses = self._choose(data_centre)
+            raise _not_found(path)
+        query_fields = parse_qs(query)
+        data_centre = query_fields.get('zone', [''])[0]
+        addresses = self._choose_addresses(data_centre)
         if not addresses:
             raise RequestRefused(
                 HTTPStatus.SERVICE_UNAVAILABLE,
@@ -53,28 +53,28 @@
         )
 
 
-class Readiness:
-    """Answers the platform's checks."""
+class ReadinessHandler:
+    """Responds to the platform's readiness checks."""
 
     def __init__(self, is_ready):
-        """Create the answerer.
+        """Create the handler.
 
         Args:
           is_ready: A function without arguments that returns a bool.
         """
         self._is_ready = is_ready
 
-    def answer(self, exchange):
-        """Answer a check; see Directory.answer."""
+    def respond(self, exchange):
+        """Respond to a readiness check; see DirectoryHandler.respond."""
         path = exchange.target.partition('?')[0]
         if path != READY_PATH:
-            raise _no_such_path(path)
+            raise _not_found(path)
         ready = self._is_ready()
         status = HTTPStatus.OK if ready else HTTPStatus.SERVICE_UNAVAILABLE
         exchange.reply(status, b'')
 
 
-def _no_such_path(path):
+def _not_found(path):
     return RequestRefused(
         HTTPStatus.NOT_FOUND,
         'no_such_path',
--- a/crankchute/platform/documents.py
+++ b/crankchute/platform/documents.py
@@ -1,4 +1,4 @@
-"""The operator's configuration in the platform's store, decoded."""
+"""Decodes the operator's configuration document in the platform's store."""
 
 import orjson
 
@@ -13,7 +13,7 @@
 from crankchute.core.route_table import PoolShare, Route
 from crankchute.errors import ConfigError, Finding
 
-_PLACE = 'op/config'
+_DOCUMENT_KEY = 'op/config'
 _DECODE_ERRORS = (KeyError, TypeError, ValueError, AttributeError)
 _STREAMING = 'streaming'
 _MS_PER_SECOND = 1000
@@ -21,50 +21,53 @@
 _DEFAULT_CONNECTIONS = 64
 _DEFAULT_STALL_MS = 1500
 _DEFAULT_HEALTH_PATH = '/'
-#: Tokens of a usual prompt and its answer where a pool does not publish them.
-_USUAL_PROMPT = 9000
-_USUAL_ANSWER = 1200
+#: Tokens of a typical prompt and its answer, if the document names none.
+_DEFAULT_PROMPT_TOKENS = 9000
+_DEFAULT_ANSWER_TOKENS = 1200
 
 
-def read_config(payload, stall_ms=_DEFAULT_STALL_MS):
-    """Return the configuration that the operator wrote.
+def decode_config(payload, stall_ms=_DEFAULT_STALL_MS):
+    """Decode the configuration document.
 
     Args:
       payload: The bytes of the document.
-      stall_ms: How long work that depends on a lost engine stands still.
+      stall_ms: How long requests stall when an engine they depend on is lost.
     Returns:
       A ForwardConfig.
     Raises:
-      ConfigError: If it cannot be read.
+      ConfigError: If the document is malformed.
     """
     try:
         document = orjson.loads(payload)
-        return _read_document(document, stall_ms)
+        return _decode_document(document, stall_ms)
     except _DECODE_ERRORS as exc:
-        finding = Finding(_PLACE, f'{type(exc).__name__}: {exc}')
+        finding = Finding(_DOCUMENT_KEY, f'{type(exc).__name__}: {exc}')
         raise ConfigError([finding]) from exc
 
 
-def _read_document(document, stall_ms):
-    routes = [_read_route(one) for one in document.get('routes', ())]
-    pools = [_read_pool(one, stall_ms) for one in document.get('services', ())]
+def _decode_document(document, stall_ms):
+    routes = [_decode_route(route) for route in document.get('routes', ())]
+    pools = [
+        _decode_pool(service, stall_ms)
+        for service in document.get('services', ())
+    ]
     return ForwardConfig(
         int(document['version']),
         routes,
         pools,
-        keys=_read_keys(document.get('tenants')),
-        intake=_read_intake(document.get('limits')),
+        keys=_decode_keys(document.get('tenants')),
+        intake=_decode_intake(document.get('limits')),
     )
 
 
-def _read_route(document):
+def _decode_route(document):
     timeout_ms = document['timeout-ms']
     return Route(
         name=document.get('name', ''),
         host=document['host'].lower(),
         prefix=document['path-prefix'],
-        shares=_read_shares(document),
-        repeat=_read_repeat(document),
+        shares=_decode_shares(document),
+        repeat=_decode_repeat(document),
         is_stream=document['kind'] == _STREAMING,
         is_open=bool(document.get('allow-anonymous')),
         timeout_ms=timeout_ms,
@@ -75,33 +78,35 @@
     )
 
 
-def _read_shares(document):
+def _decode_shares(document):
     split = document.get('traffic-split')
     if split:
-        return tuple(PoolShare(one['service'], one['weight']) for one in split)
+        return tuple(
+            PoolShare(share['service'], share['weight']) for share in split
+        )
     return (PoolShare(document['service'], 1),)
 
 
-def _read_repeat(document):
+def _decode_repeat(document):
     kind = document['kind']
     if kind == _STREAMING:
-        may_resume = document.get('stream-resume')
-        return Repeat.RESUME if may_resume else Repeat.ONCE
+        can_resume = document.get('stream-resume')
+        return Repeat.RESUME if can_resume else Repeat.ONCE
     return Repeat.AGAIN if kind == 'idempotent' else Repeat.ONCE
 
 
-def _read_pool(document, stall_ms):
+def _decode_pool(document, stall_ms):
     engine = document.get('engine')
     return PoolConfig(
         document['name'],
         document.get('max-connections') or _DEFAULT_CONNECTIONS,
-        None if engine is None else _read_figures(engine, stall_ms),
+        None if engine is None else _decode_engine(engine, stall_ms),
         document.get('health-path') or _DEFAULT_HEALTH_PATH,
     )
 
 
-def _read_figures(engine, stall_ms):
-    usual = engine.get('usual', {})
+def _decode_engine(engine, stall_ms):
+    typical = engine.get('usual', {})
     return EngineFigures(
         slots=engine['slots'],
         memory_tokens=engine['kv-capacity-tokens'],
@@ -115,12 +120,12 @@
         hop_ms=engine.get('hop_ms', 0),
         stall_ms=stall_ms,
         report_lag_ms=engine.get('report_lag_ms', 0),
-        usual_prompt=usual.get('prompt', _USUAL_PROMPT),
-        usual_answer=usual.get('answer', _USUAL_ANSWER),
+        usual_prompt=typical.get('prompt', _DEFAULT_PROMPT_TOKENS),
+        usual_answer=typical.get('answer', _DEFAULT_ANSWER_TOKENS),
     )
 
 
-def _read_keys(accounts):
+def _decode_keys(accounts):
     if not accounts:
         return None
     return {
@@ -130,7 +135,7 @@
     }
 
 
-def _read_intake(limits):
+def _decode_intake(limits):
     if not limits:
         return None
     return IntakeConfig(
--- a/crankchute/platform/documents_test.py
+++ b/crankchute/platform/documents_test.py
@@ -1,4 +1,4 @@
-"""Tests of decoding the store's documents."""
+"""Tests of decoding the configuration document."""
 
 from types import MappingProxyType
 
@@ -7,7 +7,7 @@
 
 from crankchute.core.forward_job import Repeat
 from crankchute.errors import ConfigError
-from crankchute.platform.documents import read_config
+from crankchute.platform.documents import decode_config
 
 ROUTE = MappingProxyType(
     {
@@ -56,12 +56,12 @@
 )
 
 
-def read_changed(**changes):
-    return read_config(orjson.dumps({**DOCUMENT, **changes}))
+def decode_with(**changes):
+    return decode_config(orjson.dumps({**DOCUMENT, **changes}))
 
 
-def test_whole_configuration():
-    config = read_changed()
+def test_all_sections_are_decoded():
+    config = decode_with()
     route = config.routes.find('a.example', '/p/x')
     assert config.version == 7
     assert route.repeat == Repeat.RESUME
@@ -81,25 +81,25 @@
         ({'kind': 'streaming', 'stream-resume': False}, Repeat.ONCE, True),
         ({'kind': 'idempotent'}, Repeat.AGAIN, False),
         ({'kind': 'non_idempotent'}, Repeat.ONCE, False),
-        ({'kind': 'never heard of'}, Repeat.ONCE, False),
+        ({'kind': 'unknown'}, Repeat.ONCE, False),
     ],
 )
-def test_what_may_be_repeated(change, repeat, is_stream):
-    config = read_changed(routes=[{**ROUTE, **change}])
+def test_kind_of_route_decides_on_retries(change, repeat, is_stream):
+    config = decode_with(routes=[{**ROUTE, **change}])
     route = config.routes.find('a.example', '/p/')
     assert (route.repeat, route.is_stream) == (repeat, is_stream)
 
 
-def test_split_goes_before_a_single_pool():
+def test_traffic_split_takes_precedence_over_service():
     split = [{'service': 'x', 'weight': 90}, {'service': 'y', 'weight': 10}]
-    config = read_changed(routes=[{**ROUTE, 'traffic-split': split}])
+    config = decode_with(routes=[{**ROUTE, 'traffic-split': split}])
     route = config.routes.find('a.example', '/p/')
     assert [share.pool for share in route.shares] == ['x', 'y']
 
 
 @pytest.mark.parametrize('accounts', [None, []])
-def test_without_accounts_no_request_needs_a_key(accounts):
-    assert read_changed(tenants=accounts).keys is None
+def test_without_accounts_no_api_keys_are_required(accounts):
+    assert decode_with(tenants=accounts).keys is None
 
 
 @pytest.mark.parametrize(
@@ -114,7 +114,7 @@
         orjson.dumps({'version': 1, 'services': [{}]}),
     ],
 )
-def test_bad_configuration_is_a_finding(payload):
-    with pytest.raises(ConfigError) as caught:
-        read_config(payload)
-    assert caught.value.findings[0].place == 'op/config'
+def test_malformed_document_raises_config_error(payload):
+    with pytest.raises(ConfigError) as raised:
+        decode_config(payload)
+    assert raised.value.findings[0].place == 'op/config'
--- a/crankchute/platform/node.py
+++ b/crankchute/platform/node.py
@@ -20,7 +20,7 @@
 from crankchute.errors import RequestRefused
 from crankchute.platform.answers import ExchangeAnswer
 from crankchute.platform.backend_calls import BackendCalls
-from crankchute.platform.directory import Directory, Readiness
+from crankchute.platform.directory import DirectoryHandler, ReadinessHandler
 from crankchute.platform.engine_orders import EngineOrders
 from crankchute.platform.engine_reports import EngineReports
 from crankchute.platform.published import PublishedConfig, PublishedServers
@@ -147,17 +147,17 @@
             listeners.callers,
             self._early.take,
         )
-        readiness = Readiness(lambda: self.node.is_accepting)
-        self._listen(loop, listeners.readiness, readiness.answer)
+        readiness = ReadinessHandler(lambda: self.node.is_accepting)
+        self._listen(loop, listeners.readiness, readiness.respond)
         pages = OperatorPages(
             self.node.metrics,
             lambda: dump_forward_node(self.node),
         )
         self._listen(loop, listeners.operators, pages.answer)
         if listeners.directory is not None:
-            choose = self.node.choose_addresses
-            directory = Directory(choose, ADDRESS_TTL_MS)
-            self._listen(loop, listeners.directory, directory.answer)
+            choose_addresses = self.node.choose_addresses
+            directory = DirectoryHandler(choose_addresses, ADDRESS_TTL_MS)
+            self._listen(loop, listeners.directory, directory.respond)
 
     def _watch_store(self):
         servers_watch = self._make_watch(
--- a/crankchute/platform/published.py
+++ b/crankchute/platform/published.py
@@ -4,7 +4,7 @@
 from crankchute.core.fleet import LEAVING
 from crankchute.core.replica import ChangeSet, Entry
 from crankchute.errors import ConfigError
-from crankchute.platform.documents import read_config
+from crankchute.platform.documents import decode_config
 from crankchute.platform.server_entries import read_server
 from crankchute.platform.store_position import era_of
 from crankchute.platform.wire import CONFIG_KEY, SERVERS_PREFIX
@@ -45,7 +45,7 @@
           payload: The bytes of the document.
         """
         try:
-            config = read_config(payload)
+            config = decode_config(payload)
         except ConfigError as exc:
             log_change('config_refused', findings=str(exc))
             return
