--- a/crankchute/platform/documents.py
+++ b/crankchute/platform/documents.py
@@ -46,10 +46,9 @@
 
 
 def _decode_document(document, stall_ms):
-    routes = [_decode_route(route) for route in document.get('routes', ())]
+    routes = [_decode_route(entry) for entry in document.get('routes', ())]
     pools = [
-        _decode_pool(service, stall_ms)
-        for service in document.get('services', ())
+        _decode_pool(entry, stall_ms) for entry in document.get('services', ())
     ]
     return ForwardConfig(
         int(document['version']),
--- a/crankchute/platform/node.py
+++ b/crankchute/platform/node.py
@@ -153,7 +153,7 @@
             self.node.metrics,
             lambda: dump_forward_node(self.node),
         )
-        self._listen(loop, listeners.operators, pages.answer)
+        self._listen(loop, listeners.metrics, pages.answer)
         if listeners.directory is not None:
             choose_addresses = self.node.choose_addresses
             directory = DirectoryHandler(choose_addresses, ADDRESS_TTL_MS)
@@ -203,7 +203,7 @@
         return StoreWatch(self, prefix, listener, pace)
 
     def _stale_ms(self):
-        return choose_stale_ms(self.settings.bounds.in_force_ms)
+        return choose_stale_ms(self.settings.bounds.config_apply_ms)
 
     def _is_reader(self):
         return self.node.peers.sharing.is_among_first(_READERS)
--- a/crankchute/platform/run.py
+++ b/crankchute/platform/run.py
@@ -1,4 +1,4 @@
-"""Running an instance on the platform, once its addresses are listened on."""
+"""Runs the event loop of an instance on the platform."""
 
 import gc
 import signal
@@ -9,7 +9,7 @@
 from crankchute.errors import SettingsError
 from crankchute.platform.settings import load_settings
 
-# Called here, since what is imported below imports circuits.
+# Must run before the imports below, which import circuits.
 skip_slow_imports()
 
 from crankchute.adapters.loop import Loop
@@ -17,13 +17,13 @@
 
 
 def run_instance(settings, sockets):
-    """Run an instance until it is told to stop.
+    """Run an instance until it is signalled to stop.
 
     Args:
       settings: InstanceSettings.
       sockets: A map from address to the socket that listens on it.
     Returns:
-      The exit code: 0 after a stop, 1 if an address is taken.
+      The exit code: 0 after a stop, 1 if an address cannot be bound.
     """
     loop = Loop(SteadyClock())
     try:
@@ -35,7 +35,7 @@
     node.on_stopped = loop.stop
     loop.on_signal(signal.SIGTERM, node.stop)
     loop.on_signal(signal.SIGINT, node.stop)
-    # The library handles no hang-up, whose default would end the process.
+    # The loop does not handle SIGHUP, which ends the process by default.
     signal.signal(
         signal.SIGHUP,
         lambda *_args: loop.post(_reload, platform),
@@ -44,7 +44,7 @@
         'started',
         instance=settings.instance,
         boot=node.identity.boot,
-        seeds=[list(one) for one in settings.seeds],
+        seeds=[list(address) for address in settings.seeds],
     )
     gc.freeze()
     loop.run()
@@ -58,4 +58,7 @@
         log_change('settings_refused', failed=True, findings=str(exc))
         return
     platform.reload(settings)
-    log_change('settings_reloaded', seeds=[list(one) for one in settings.seeds])
+    log_change(
+        'settings_reloaded',
+        seeds=[list(address) for address in settings.seeds],
+    )
--- a/crankchute/platform/settings.py
+++ b/crankchute/platform/settings.py
@@ -1,4 +1,4 @@
-"""The settings file of the platform, decoded into the project's own words."""
+"""Decodes the settings file that the platform writes for an instance."""
 
 import os
 import tomllib
@@ -9,7 +9,7 @@
 _PATH_VARIABLE = 'CRANKCHUTE_CONFIG'
 _DEFAULT_PATH = '/etc/crankchute/settings.toml'
 _MS_PER_SECOND = 1000
-_MILLI = 1000
+_MILLICORES_PER_CORE = 1000
 _MISSING = object()
 
 
@@ -18,62 +18,62 @@
 
     Attributes:
       callers: For requests.
-      readiness: For the platform's checks.
-      directory: For callers that ask where to go.
-      peers: For the other instances, through the seeds.
-      operators: For metrics and the state of the process.
+      readiness: For the platform's readiness checks.
+      directory: For address lookups by callers, or None.
+      peers: For messages from other instances, or None.
+      metrics: For the metrics and debug pages, or None.
     """
 
-    __slots__ = ('callers', 'directory', 'operators', 'peers', 'readiness')
+    __slots__ = ('callers', 'directory', 'metrics', 'peers', 'readiness')
 
     def __init__(self, **fields):
         """Create the record.
 
         Args:
-          fields: A value for each attribute, None where it is not served.
+          fields: A value for each attribute but `metrics`.
         """
-        self.operators = None
+        self.metrics = None
         for name, address in fields.items():
             setattr(self, name, address)
 
     def set_metrics_port(self, port):
-        """Serve operators at a port of the address for callers.
+        """Serve the metrics pages at the IP address for callers.
 
         Args:
           port: A port number.
         """
         host, _port = self.callers
-        self.operators = (host, port)
+        self.metrics = (host, port)
 
     def addresses(self):
-        """Return the addresses that are listened on, peers' apart."""
-        served = (
+        """Return the configured addresses except the one for peers."""
+        candidates = (
             self.callers,
             self.readiness,
             self.directory,
-            self.operators,
+            self.metrics,
         )
-        return [one for one in served if one is not None]
+        return [address for address in candidates if address is not None]
 
 
 class Bounds:
-    """The times and limits that the platform holds the system to.
+    """Service-level bounds that the platform requires; times in milliseconds.
 
     Attributes:
-      grace_ms: How long a process may take to stop.
-      in_force_ms: Within what time a new version must be in force.
-      revoke_ms: Within what time a revoked key must be refused everywhere.
-      retry_ratio: Retries for each request, all instances together.
-      retry_slack: Retries beyond that in any window.
-      retry_window_ms: That window.
-      unused_ms: How long memory may be set aside while no request uses it.
-      is_revocation_strict: Whether a revoked key must be refused also where
-        its revocation could not be heard of, a bool.
+      grace_ms: The longest time from the signal to stop to the exit.
+      config_apply_ms: The longest time until a new configuration applies.
+      revoke_ms: The longest time until a revoked API key is rejected.
+      retry_ratio: Retries allowed per request, over all instances.
+      retry_slack: Retries allowed in a window beyond the ratio.
+      retry_window_ms: The window over which retries are counted.
+      unused_ms: How long a memory reservation may stay unused.
+      is_revocation_strict: Whether requests are rejected when the instance
+        cannot know if their key was revoked, a bool.
     """
 
     __slots__ = (
+        'config_apply_ms',
         'grace_ms',
-        'in_force_ms',
         'is_revocation_strict',
         'retry_ratio',
         'retry_slack',
@@ -83,7 +83,7 @@
     )
 
     def __init__(self, **fields):
-        """Create the bounds.
+        """Create the record.
 
         Args:
           fields: A value for each attribute.
@@ -93,18 +93,18 @@
 
 
 class InstanceSettings:
-    """What one instance is told at its start.
+    """The settings of one instance.
 
     Attributes:
       instance: The id of this instance.
-      data_centre: Where it runs.
+      data_centre: The data centre that it runs in.
       listeners: Listeners.
-      seeds: Addresses of other instances for peers, pairs of IP and port.
+      seeds: Peer addresses of other instances, pairs of IP and port.
       peer_ports: The first and last port for messages between instances.
       store: The address of the platform's store, a pair of IP and port.
       bounds: Bounds.
-      millicores: The processor that this machine has, in thousandths of a
-        core, or 0 where that is not told.
+      millicores: The processor share of the instance in thousandths of a
+        core, or 0 if unknown.
     """
 
     __slots__ = (
@@ -119,7 +119,7 @@
     )
 
     def __init__(self, **fields):
-        """Create the settings.
+        """Create the record.
 
         Args:
           fields: A value for each attribute.
@@ -128,32 +128,32 @@
             setattr(self, name, fields[name])
 
 
-class _Reader:
-    """Reads values of a document and gathers findings."""
+class _DocumentReader:
+    """Reads values of a document and collects findings."""
 
     def __init__(self, document):
         self._document = document
         self.findings = []
 
-    def take(self, path, convert, default=_MISSING):
-        """Return a converted value, or None after a finding."""
-        found = self._document
+    def read(self, path, convert, default=_MISSING):
+        """Return the converted value at a dotted path, or None on error."""
+        node = self._document
         for name in path.split('.'):
-            found = found.get(name) if isinstance(found, dict) else None
-        if found is None:
+            node = node.get(name) if isinstance(node, dict) else None
+        if node is None:
             if default is _MISSING:
                 self.findings.append(Finding(path, 'is required'))
                 return None
             return default
         try:
-            return convert(found)
+            return convert(node)
         except (TypeError, ValueError) as exc:
-            self.findings.append(Finding(path, f'{found!r}: {exc}'))
+            self.findings.append(Finding(path, f'{node!r}: {exc}'))
             return None
 
 
 def load_settings(environ=os.environ):
-    """Read the settings file that the environment names.
+    """Load the settings file that CRANKCHUTE_CONFIG names.
 
     Args:
       environ: A map of environment variables.
@@ -172,23 +172,23 @@
 
 
 def read_settings(document):
-    """Return the settings of a document.
+    """Decode the settings.
 
     Args:
-      document: A map, as TOML gives it.
+      document: A map that tomllib returned.
     Returns:
       InstanceSettings.
     Raises:
       SettingsError: With every finding.
     """
-    reader = _Reader(document)
+    reader = _DocumentReader(document)
     settings = InstanceSettings(
-        instance=reader.take('node-name', str),
-        data_centre=reader.take('zone', str),
+        instance=reader.read('node-name', str),
+        data_centre=reader.read('zone', str),
         listeners=_read_listeners(reader),
-        seeds=reader.take('seeds', _read_addresses, ()),
-        peer_ports=reader.take('internal-port-range', _read_range),
-        store=reader.take('platform.address', read_address),
+        seeds=reader.read('seeds', _read_addresses, ()),
+        peer_ports=reader.read('internal-port-range', _read_range),
+        store=reader.read('platform.address', read_address),
         bounds=_read_bounds(reader),
         millicores=_read_millicores(reader),
     )
@@ -199,35 +199,35 @@
 
 def _read_listeners(reader):
     return Listeners(
-        callers=reader.take('listen.frontend', read_address),
-        readiness=reader.take('listen.readiness', read_address),
-        directory=reader.take('listen.directory', read_address, None),
-        peers=reader.take('listen.control', read_address, None),
+        callers=reader.read('listen.frontend', read_address),
+        readiness=reader.read('listen.readiness', read_address),
+        directory=reader.read('listen.directory', read_address, None),
+        peers=reader.read('listen.control', read_address, None),
     )
 
 
 def _read_bounds(reader):
-    chosen = {
-        name: reader.take(f'bounds.{path}', convert, default)
+    fields = {
+        name: reader.read(f'bounds.{path}', convert, default)
         for name, path, convert, default in _BOUNDS
     }
-    return Bounds(**chosen)
+    return Bounds(**fields)
 
 
 def _read_millicores(reader):
-    share = reader.take('limits.cpu-share', float, 0)
-    cores = reader.take('limits.cpu-cores', float, 1)
+    share = reader.read('limits.cpu-share', float, 0)
+    cores = reader.read('limits.cpu-cores', float, 1)
     if share is None or cores is None:
         return 0
-    return round(share * cores * _MILLI)
+    return round(share * cores * _MILLICORES_PER_CORE)
 
 
 def _read_addresses(texts):
     return tuple(read_address(text) for text in texts)
 
 
-def _read_range(pair):
-    first, last = pair
+def _read_range(ports):
+    first, last = ports
     return int(first), int(last)
 
 
@@ -235,21 +235,20 @@
     return float(number) * _MS_PER_SECOND
 
 
-def _read_flag(told):
-    if not isinstance(told, bool):
-        raise TypeError('is neither true nor false')
-    return told
+def _read_bool(setting):
+    if not isinstance(setting, bool):
+        raise TypeError('must be true or false')
+    return setting
 
 
-#: Attributes of Bounds: the wire's name, its reader, and what holds where a
-#: deployment does not tell it.
+#: The attributes of Bounds: attribute, key in the file, converter, default.
 _BOUNDS = (
     ('grace_ms', 'grace-s', _read_seconds, 8000),
-    ('in_force_ms', 'config-apply-ms', float, 3000),
+    ('config_apply_ms', 'config-apply-ms', float, 3000),
     ('revoke_ms', 'revoke-ms', float, 5000),
     ('retry_ratio', 'retry-budget-ratio', float, 0.1),
     ('retry_slack', 'retry-slack', float, 10),
     ('retry_window_ms', 'retry-window-s', _read_seconds, 10_000),
     ('unused_ms', 'idle_max_ms', float, 9000),
-    ('is_revocation_strict', 'strict-revocation', _read_flag, True),
+    ('is_revocation_strict', 'strict-revocation', _read_bool, True),
 )
--- a/crankchute/platform/settings_test.py
+++ b/crankchute/platform/settings_test.py
@@ -23,7 +23,7 @@
         },
         'bounds': {'grace-s': 8, 'revoke-ms': 5000, 'retry-window-s': 10},
         'platform': {'address': '10.0.0.9:8223'},
-        'a-field-of-tomorrow': 1,
+        'unknown-field': 1,
     }
 )
 
@@ -49,32 +49,32 @@
         ({'bounds': {'grace-s': 'x'}}, 'bounds.grace-s'),
     ],
 )
-def test_every_finding_names_its_place(changes, place):
-    with pytest.raises(SettingsError) as caught:
+def test_findings_name_the_setting(changes, place):
+    with pytest.raises(SettingsError) as raised:
         read_settings({**DOCUMENT, **changes})
-    assert place in {finding.place for finding in caught.value.findings}
+    assert place in {finding.place for finding in raised.value.findings}
 
 
 @pytest.mark.parametrize(
-    ('told', 'in_force_ms'),
+    ('fields', 'config_apply_ms'),
     [({}, 3000), ({'config-apply-ms': 2000}, 2000)],
 )
-def test_bound_of_new_versions_is_read(told, in_force_ms):
-    settings = read_settings({**DOCUMENT, 'bounds': told})
-    assert settings.bounds.in_force_ms == in_force_ms
+def test_configuration_bound_has_a_default(fields, config_apply_ms):
+    settings = read_settings({**DOCUMENT, 'bounds': fields})
+    assert settings.bounds.config_apply_ms == config_apply_ms
 
 
 @pytest.mark.parametrize(
-    ('told', 'unused_ms'),
+    ('fields', 'unused_ms'),
     [({}, 9000), ({'idle_max_ms': 7000}, 7000)],
 )
-def test_bound_of_unused_memory_is_read(told, unused_ms):
-    settings = read_settings({**DOCUMENT, 'bounds': told})
+def test_bound_of_unused_memory_has_a_default(fields, unused_ms):
+    settings = read_settings({**DOCUMENT, 'bounds': fields})
     assert settings.bounds.unused_ms == unused_ms
 
 
 @pytest.mark.parametrize('text', [None, 'node-name = '])
-def test_file_that_cannot_be_read_is_a_finding(tmp_path, text):
+def test_missing_or_malformed_file_raises(tmp_path, text):
     path = tmp_path / 'settings.toml'
     if text is not None:
         path.write_text(text)
@@ -83,14 +83,14 @@
 
 
 @pytest.mark.parametrize(
-    ('told', 'is_strict'),
+    ('fields', 'is_strict'),
     [({}, True), ({'strict-revocation': False}, False)],
 )
-def test_revocation_is_strict_unless_told_otherwise(told, is_strict):
-    settings = read_settings({**DOCUMENT, 'bounds': told})
+def test_revocation_is_strict_by_default(fields, is_strict):
+    settings = read_settings({**DOCUMENT, 'bounds': fields})
     assert settings.bounds.is_revocation_strict == is_strict
 
 
-def test_strictness_of_revocation_is_true_or_false():
+def test_strict_revocation_must_be_a_boolean():
     with pytest.raises(SettingsError):
         read_settings({**DOCUMENT, 'bounds': {'strict-revocation': 'no'}})
