--- a/bench/ablations.py
+++ b/bench/ablations.py
@@ -167,8 +167,8 @@
 _leave_out(
     'early requests',
     _NODE,
-    '_FIRST_ANSWERS_MS = 60',
-    '_FIRST_ANSWERS_MS = 0',
+    '_FIRST_READ_WAIT_MS = 60',
+    '_FIRST_READ_WAIT_MS = 0',
 )
 _leave_out(
     'retries of 500',
--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -324,7 +324,7 @@
         'servers that left are back with an older copy',
         'crankchute/platform/store_era_test.py',
         'crankchute/platform/published.py',
-        'may_be_old=came_back',
+        'may_be_old=is_restored',
         'may_be_old=False',
     ),
     Mutation(
--- a/crankchute/platform/node.py
+++ b/crankchute/platform/node.py
@@ -1,4 +1,4 @@
-"""One instance on the platform: the product's node between its adapters."""
+"""Connects a node of the core to the adapters of the platform."""
 
 from crankchute.adapters.early_requests import EarlyRequests
 from crankchute.adapters.forward_server import ForwardServer
@@ -27,44 +27,41 @@
 from crankchute.platform.requests import RequestReader
 from crankchute.platform.server_calls import ServerCalls
 from crankchute.platform.server_entries import POOL_LABEL
-from crankchute.platform.store import StoreWatch, WatchPace
+from crankchute.platform.store import StoreWatch, WatchPolicy
 from crankchute.platform.wire import (
     CONFIG_KEY,
     REQUEST_ID,
     SERVERS_PREFIX,
 )
 
-#: How long callers may keep an address answer, in milliseconds: short, so
-#: that they leave a lost instance soon; each question costs processor time.
+#: How long callers may cache addresses: short enough to stop using a lost
+#: instance soon, long enough to keep the load of lookups low.
 ADDRESS_TTL_MS = 1000
-#: How long a watch waits; the age of a proof stays under twice as long, and
-#: a reader that is cut off from the store alone is noticed after it.
-_WAIT_MS = 1200
-#: How long a reader does without a watch after a change: servers register by
-#: the dozen when a day begins.
-_PAUSE_MS = 150
-#: How often an instance looks whether it is told nothing new for too long.
-_CHECK_MS = 250
-#: How long a process that starts does not watch, since until it knows the
-#: others it would take itself for a reader.
-_SETTLE_MS = 1000
-#: How many of the active instances read the store for all: one is enough,
-#: and the loss of two at once leaves one.
+#: How long a watch call waits.  The proof that data is current is less than
+#: twice as old, and a reader notices after this time that the store is lost.
+_WATCH_WAIT_MS = 1200
+#: How long a reader delays the next watch call after a change, since servers
+#: register in batches.
+_WATCH_BATCH_MS = 150
+#: How often an instance checks whether its data is stale.
+_STALE_CHECK_MS = 250
+#: How long a new process does not watch, since it considers itself a reader
+#: until it knows the other instances.
+_STARTUP_MS = 1000
+#: How many instances read the store on behalf of all; tolerates the loss of two.
 _READERS = 3
-#: The second and the longest pause between calls of the store that fail, at a
-#: reader and at others.  What the readers get again the others are told within
-#: a second, so they need not all call a store that turns everybody away.
-_READER_RETRIES_MS = (400, 800)
-_RETRIES_MS = (1500, 3000)
-#: How long a request may wait for the first answers of the store, in
-#: milliseconds; they take some ten.
-_FIRST_ANSWERS_MS = 60
-_IDLE_MS = 15_000
-_BYTES_PER_MS = 4
+#: The second and the longest delay between failing calls of the store.  Other
+#: instances get the data from the readers within a second and retry less often.
+_READER_DELAYS_MS = (400, 800)
+_RETRY_DELAYS_MS = (1500, 3000)
+#: How long an early request may wait for the first responses of the store.
+_FIRST_READ_WAIT_MS = 60
+_IDLE_TIMEOUT_MS = 15_000
+_MIN_BODY_BYTES_PER_MS = 4
 
 
 class PlatformNode:
-    """One entry instance on the platform.
+    """One instance on the platform.
 
     Attributes:
       node: The ForwardNode.
@@ -74,14 +71,14 @@
     """
 
     def __init__(self, loop, settings, sockets):
-        """Wire the adapters and begin to read the store.
+        """Create the adapters and start to read the store.
 
         Args:
           loop: The Loop.
           settings: InstanceSettings.
-          sockets: A map from address to the socket that listens on it.
+          sockets: A map from address to its listening socket.
         Raises:
-          OSError: If an address cannot be listened on.
+          OSError: If an address cannot be bound.
         """
         self.timers = loop.timers
         self.settings = settings
@@ -93,8 +90,8 @@
             port=BackendCalls(self.http_client, calls),
             reservations=EngineOrders(calls, loop.timers),
             reports=EngineReports(calls),
-            take_config=self._take_config,
-            take_servers=self._take_servers,
+            take_config=self._apply_config,
+            take_servers=self._apply_servers,
             pool_label=POOL_LABEL,
         )
         self.node = ForwardNode(
@@ -108,8 +105,8 @@
             self.node.journal,
             self.node.peers.limits,
         )
-        self._published = PublishedConfig(self.node.holder)
-        self._published_servers = PublishedServers(
+        self._config_listener = PublishedConfig(self.node.holder)
+        self._servers_listener = PublishedServers(
             self.node,
             self.timers.clock,
         )
@@ -122,11 +119,11 @@
         self._listen_all(loop)
         self.node.holder.subscribe(self._on_config)
         self.node.on_draining = self._on_draining
-        self.node.on_serving = self._early.note_informed
+        self.node.on_serving = self._early_requests.note_informed
         self._watch_store()
 
     def reload(self, settings):
-        """Take changed settings; addresses are those of the start.
+        """Apply changed settings; listening addresses do not change.
 
         Args:
           settings: InstanceSettings.
@@ -137,15 +134,15 @@
 
     def _listen_all(self, loop):
         listeners = self.settings.listeners
-        self._early = EarlyRequests(
+        self._early_requests = EarlyRequests(
             loop.timers,
             self._on_request,
-            _FIRST_ANSWERS_MS,
+            _FIRST_READ_WAIT_MS,
         )
         self._server = self._listen(
             loop,
             listeners.callers,
-            self._early.take,
+            self._early_requests.take,
         )
         readiness = ReadinessHandler(lambda: self.node.is_accepting)
         self._listen(loop, listeners.readiness, readiness.respond)
@@ -162,45 +159,45 @@
     def _watch_store(self):
         servers_watch = self._make_watch(
             SERVERS_PREFIX,
-            self._published_servers,
+            self._servers_listener,
             self.node.servers.proof_age_ms,
         )
         config_watch = self._make_watch(
             CONFIG_KEY,
-            self._published,
+            self._config_listener,
             self.node.holder.proof_age_ms,
         )
-        # What cut one watch off may have cut off the other unnoticed.
-        config_watch.on_regained = servers_watch.refresh
-        self._published_servers.watches = (servers_watch, config_watch)
+        # The connection of the other watch may be lost, too.
+        config_watch.on_recovered = servers_watch.refresh
+        self._servers_listener.watches = (servers_watch, config_watch)
         servers_watch.start()
         config_watch.start()
-        self.timers.every(_CHECK_MS, self._check_watches)
+        self.timers.every(_STALE_CHECK_MS, self._resume_watches)
 
     def _make_watch(self, prefix, listener, proof_age_ms):
-        """Return a watch that rests while others tell what it would."""
+        """Return a watch that is idle while other instances provide its data."""
 
         def is_needed():
             now_ms = self.timers.clock.now_ms()
-            if now_ms - self._start_ms < _SETTLE_MS:
+            if now_ms - self._start_ms < _STARTUP_MS:
                 return False
             age_ms = proof_age_ms(now_ms)
             if age_ms is None:
                 age_ms = now_ms - self._start_ms
             return self._is_reader() or age_ms > self._stale_ms()
 
-        def is_told():
+        def is_fresh():
             age_ms = proof_age_ms(self.timers.clock.now_ms())
             return age_ms is not None and age_ms <= self._stale_ms()
 
-        pace = WatchPace(
-            wait_ms=_WAIT_MS,
+        policy = WatchPolicy(
+            wait_ms=_WATCH_WAIT_MS,
             is_needed=is_needed,
-            pause_ms=_PAUSE_MS,
-            is_told=is_told,
-            choose_retries=self._choose_retries,
+            batch_ms=_WATCH_BATCH_MS,
+            is_fresh=is_fresh,
+            choose_retry_delays=self._choose_retry_delays,
         )
-        return StoreWatch(self, prefix, listener, pace)
+        return StoreWatch(self, prefix, listener, policy)
 
     def _stale_ms(self):
         return choose_stale_ms(self.settings.bounds.config_apply_ms)
@@ -208,12 +205,12 @@
     def _is_reader(self):
         return self.node.peers.sharing.is_among_first(_READERS)
 
-    def _choose_retries(self):
-        return _READER_RETRIES_MS if self._is_reader() else _RETRIES_MS
+    def _choose_retry_delays(self):
+        return _READER_DELAYS_MS if self._is_reader() else _RETRY_DELAYS_MS
 
-    def _check_watches(self):
-        """Ask the store when neither it nor another instance told lately."""
-        servers_watch, config_watch = self._published_servers.watches
+    def _resume_watches(self):
+        """Call the store if the data is stale."""
+        servers_watch, config_watch = self._servers_listener.watches
         servers_watch.resume(self.node.servers.revision)
         config_watch.resume(0)
 
@@ -224,7 +221,7 @@
             on_request,
             self.timers,
             channel=f'server-{port}',
-            idle_ms=_IDLE_MS,
+            idle_ms=_IDLE_TIMEOUT_MS,
         )
         return server.register(loop)
 
@@ -238,11 +235,11 @@
         if not flow.ended:
             exchange.on_gone = flow.cancel
 
-    def _take_config(self, payload):
-        self._published.take(payload)
+    def _apply_config(self, payload):
+        self._config_listener.apply(payload)
 
-    def _take_servers(self, changes):
-        return self._published_servers.take(changes)
+    def _apply_servers(self, changes):
+        return self._servers_listener.apply(changes)
 
     def _on_config(self, config):
         intake = config.intake
@@ -252,7 +249,7 @@
                 head_bytes=intake.head_bytes,
                 body_bytes=intake.body_bytes,
                 head_ms=intake.head_ms,
-                body_rate=_BYTES_PER_MS,
+                body_rate=_MIN_BODY_BYTES_PER_MS,
             )
 
     def _on_draining(self):
--- a/crankchute/platform/published.py
+++ b/crankchute/platform/published.py
@@ -1,4 +1,4 @@
-"""What the platform's store tells, handed to the core."""
+"""Passes data published in the platform's store to the core."""
 
 from crankchute.adapters.log import log_change
 from crankchute.core.fleet import LEAVING
@@ -9,15 +9,14 @@
 from crankchute.platform.store_position import era_of
 from crankchute.platform.wire import CONFIG_KEY, SERVERS_PREFIX
 
-#: Entries that vanish this soon after trouble with the store may have lapsed.
-_TROUBLE_MS = 6000
-#: How many entries that name no server are remembered, so that each is logged
-#: once and not whenever the list is read.
-_MOST_REFUSED = 256
+#: Entries removed within this time after a failed call may only have expired.
+_RECENT_FAILURE_MS = 6000
+#: How many malformed entries are remembered, to log each only once.
+_MAX_REJECTED = 256
 
 
 class PublishedConfig:
-    """Hands the operator's configuration to its holder."""
+    """Passes the operator's configuration to its holder."""
 
     def __init__(self, holder):
         """Create the listener of a watch.
@@ -27,19 +26,19 @@
         """
         self._holder = holder
 
-    def on_entries(self, entries, asked_ms, _at):
-        """Take all that stands under the prefix."""
-        self.on_changes(entries, asked_ms)
+    def on_entries(self, entries, sent_ms, _position):
+        """Process all entries under the prefix."""
+        self.on_changes(entries, sent_ms)
 
-    def on_changes(self, entries, asked_ms):
-        """Take what changed, and that nothing else did."""
+    def on_changes(self, entries, sent_ms):
+        """Process changed entries; without any, the version is current."""
         for entry in entries:
             if entry.key == CONFIG_KEY and entry.payload is not None:
-                self.take(entry.payload)
-        self._holder.prove(self._holder.version, asked_ms)
+                self.apply(entry.payload)
+        self._holder.prove(self._holder.version, sent_ms)
 
-    def take(self, payload):
-        """Take a configuration from the store or from a peer.
+    def apply(self, payload):
+        """Apply a configuration from the store or from another instance.
 
         Args:
           payload: The bytes of the document.
@@ -53,14 +52,18 @@
 
 
 class PublishedServers:
-    """Hands the backend servers' entries to the fleet, whoever told them.
+    """Passes entries of backend servers to the fleet and the server list.
 
-    An entry that names no server is passed on as one that is gone: nobody has
-    to carry, read or log what another writer left there.
+    The entries come from the store or from other instances.  A malformed entry
+    is handled as a deleted one, so that it is neither forwarded to other
+    instances nor decoded by them.
+
+    Attributes:
+      watches: The watches of the store, set after they are created.
     """
 
     def __init__(self, node, clock):
-        """Create the listener of a watch; `watches` are set afterwards.
+        """Create the listener of a watch.
 
         Args:
           node: A ForwardNode.
@@ -70,69 +73,69 @@
         self._fleet = node.fleet
         self._servers = node.servers
         self._clock = clock
-        self._refused = {}
+        self._rejected = {}
         self.watches = ()
 
-    def on_entries(self, entries, asked_ms, at):
-        """Take all entries that stand there."""
-        if at >= self._servers.revision:
-            found = {
+    def on_entries(self, entries, sent_ms, position):
+        """Process all entries under the prefix."""
+        if position >= self._servers.revision:
+            servers = {
                 entry.key.removeprefix(SERVERS_PREFIX): Entry(
-                    entry.revision,
+                    entry.position,
                     entry.payload,
                 )
                 for entry in entries
             }
-            listed = self._sift(found)
-            came_back = self._came_back(at)
-            self._servers.take_all(found, at)
-            self._list_all(found, listed, came_back=came_back)
-        if asked_ms is not None:
-            self._servers.prove(self._servers.revision, asked_ms)
-
-    def on_changes(self, entries, asked_ms):
-        """Take the entries that changed."""
+            listed = self._decode_entries(servers)
+            is_restored = self._is_restored(position)
+            self._servers.take_all(servers, position)
+            self._replace_all(servers, listed, is_restored=is_restored)
+        if sent_ms is not None:
+            self._servers.prove(self._servers.revision, sent_ms)
+
+    def on_changes(self, entries, sent_ms):
+        """Process changed entries."""
         known = self._servers.revision
-        may_lapse = self._is_troubled()
-        found = {
+        may_lapse = self._failed_recently()
+        servers = {
             entry.key.removeprefix(SERVERS_PREFIX): Entry(
-                entry.revision,
+                entry.position,
                 entry.payload,
                 may_lapse=may_lapse and entry.payload is None,
             )
             for entry in entries
-            if entry.revision > known
+            if entry.position > known
         }
-        if found:
-            newest = max(entry.revision for entry in found.values())
-            self.take(ChangeSet(known, newest, found))
-        self._servers.prove(self._servers.revision, asked_ms)
+        if servers:
+            newest = max(entry.revision for entry in servers.values())
+            self.apply(ChangeSet(known, newest, servers))
+        self._servers.prove(self._servers.revision, sent_ms)
 
-    def take(self, changes):
-        """Take what changed, from the store or another instance.
+    def apply(self, changes):
+        """Apply changes from the store or from another instance.
 
         Args:
           changes: A ChangeSet.
         Returns:
-          True if the list of servers is newer now.
+          True if the changes were newer than the list and left no gap.
         """
         known = self._servers.revision
         if changes.revision <= known or changes.since > known:
             return False
-        listed = self._sift(changes.entries)
-        came_back = self._came_back(changes.revision)
+        listed = self._decode_entries(changes.entries)
+        is_restored = self._is_restored(changes.revision)
         self._servers.take(changes)
         if changes.since:
-            self._take_changed(changes.entries, listed)
+            self._apply_changed(changes.entries, listed)
         else:
-            self._list_all(changes.entries, listed, came_back=came_back)
+            self._replace_all(changes.entries, listed, is_restored=is_restored)
         return True
 
-    def _sift(self, entries):
-        """Read entries, and empty those that name no server.
+    def _decode_entries(self, entries):
+        """Decode entries, and clear the payload of malformed ones.
 
         Args:
-          entries: A map from id to Entry; changed where needed.
+          entries: A map from id to Entry.
         Returns:
           A map from id to Listed.
         """
@@ -143,35 +146,34 @@
             try:
                 listed[identity] = read_server(identity, entry.payload)
             except ConfigError as exc:
-                self._log_refused(identity, entry.revision, exc)
+                self._log_rejected(identity, entry.revision, exc)
                 entry.payload = None
         return listed
 
-    def _came_back(self, at):
-        """Tell whether the store came back since the list that is known."""
+    def _is_restored(self, position):
+        """Return whether the store was restored since the known list."""
         known = self._servers.revision
-        return known > 0 and era_of(at) != era_of(known)
+        return known > 0 and era_of(position) != era_of(known)
 
-    def _list_all(self, entries, listed, *, came_back):
-        """Take all entries; after a return of the store they may be old ones.
+    def _replace_all(self, entries, listed, *, is_restored):
+        """Replace the whole list of servers.
 
-        What is missing in an older copy its server writes again soon, and what
-        is there may be of a server that left since.
+        After a restore of the store the list may be outdated: missing entries
+        may be written again soon, and some entries may be of removed servers.
         """
         may_lapse = any(entry.may_lapse for entry in entries.values())
         self._fleet.replace(
             list(listed.values()),
-            may_lapse=may_lapse or came_back or self._is_troubled(),
-            may_be_old=came_back,
+            may_lapse=may_lapse or is_restored or self._failed_recently(),
+            may_be_old=is_restored,
         )
         log_change('servers_listed', servers=len(listed))
         self._on_listed()
 
-    def _take_changed(self, entries, listed):
-        """Take changed entries, and tell of them in one line.
+    def _apply_changed(self, entries, listed):
+        """Update single servers, and log them together.
 
-        A line for each of 3000 servers took a quarter of the time of learning
-        of them, at every instance.
+        A log line per server is too slow when a whole fleet registers.
         """
         for listed_id, entry in entries.items():
             record = listed.get(listed_id)
@@ -192,23 +194,23 @@
             )
 
     def _remove(self, listed_id, entry):
-        gone = self._fleet.remove(listed_id, may_lapse=entry.may_lapse)
-        if gone is not None:
-            log_change('server_gone', server=gone)
+        removed = self._fleet.remove(listed_id, may_lapse=entry.may_lapse)
+        if removed is not None:
+            log_change('server_gone', server=removed)
 
-    def _log_refused(self, identity, revision, exc):
-        if self._refused.get(identity) == revision:
+    def _log_rejected(self, identity, revision, exc):
+        if self._rejected.get(identity) == revision:
             return
-        if len(self._refused) >= _MOST_REFUSED:
-            self._refused.pop(next(iter(self._refused)))
-        self._refused[identity] = revision
+        if len(self._rejected) >= _MAX_REJECTED:
+            self._rejected.pop(next(iter(self._rejected)))
+        self._rejected[identity] = revision
         log_change('server_refused', findings=str(exc))
 
-    def _is_troubled(self):
-        """Tell whether any watch of the store failed lately."""
+    def _failed_recently(self):
+        """Return whether a call of the store failed recently."""
         now_ms = self._clock.now_ms()
         return any(
-            watch.failed_ms is not None
-            and now_ms - watch.failed_ms < _TROUBLE_MS
+            watch.last_failure_ms is not None
+            and now_ms - watch.last_failure_ms < _RECENT_FAILURE_MS
             for watch in self.watches
         )
--- a/crankchute/platform/settings.py
+++ b/crankchute/platform/settings.py
@@ -1,4 +1,4 @@
-"""Decodes the settings file that the platform writes for an instance."""
+"""Decodes the settings file of an instance on the platform."""
 
 import os
 import tomllib
--- a/crankchute/platform/store_pages.py
+++ b/crankchute/platform/store_pages.py
@@ -1,4 +1,4 @@
-"""What the platform's store answers, decoded."""
+"""Decodes responses of the platform's store."""
 
 import base64
 
@@ -8,85 +8,85 @@
 
 
 class StoreEntry:
-    """A key of the store and what stands there.
+    """A key of the store and its value.
 
     Attributes:
       key: The key, a string.
-      payload: Bytes, or None if the key is gone.
-      revision: The position of its last change, an int.
+      payload: The value in bytes, or None if the key was deleted.
+      position: The position of its last change, an int.
     """
 
-    __slots__ = ('key', 'payload', 'revision')
+    __slots__ = ('key', 'payload', 'position')
 
-    def __init__(self, key, payload, revision):
-        """Create the item.
+    def __init__(self, key, payload, position):
+        """Create the entry.
 
         Args:
           key: A string.
           payload: Bytes or None.
-          revision: An int.
+          position: An int.
         """
         self.key = key
         self.payload = payload
-        self.revision = revision
+        self.position = position
 
 
 class StorePage:
-    """What one call of the store answers.
+    """The response to one read or watch.
 
     Attributes:
-      entries: A list of StoreEntry, those there or those that changed.
-      at: The store's position, an int.
-      has_more: Whether there are more entries than these, a bool.
+      entries: A list of StoreEntry: those of the page read, or those changed.
+      position: The store's position, an int.
+      has_more: Whether further pages follow, a bool.
     """
 
-    __slots__ = ('at', 'has_more', 'entries')
+    __slots__ = ('entries', 'has_more', 'position')
 
-    def __init__(self, entries, at, *, has_more):
+    def __init__(self, entries, position, *, has_more):
         """Create the page.
 
         Args:
           entries: A list of StoreEntry.
-          at: An int.
+          position: An int.
           has_more: A bool.
         """
         self.entries = entries
-        self.at = at
+        self.position = position
         self.has_more = has_more
 
 
-def read_page(body, era=0):
-    """Return what an answer of the store holds.
+def decode_page(body, era=0):
+    """Decode the body of a response.
 
     Args:
-      body: The bytes of the answer.
-      era: How often the store came back, an int.
+      body: Bytes.
+      era: The era that the response belongs to, an int.
     Returns:
       A StorePage.
     Raises:
-      KeyError, TypeError, ValueError: If it is no such answer.
+      KeyError, TypeError, ValueError: If the body is malformed.
     """
     document = orjson.loads(body)
-    found = document['items'] if 'items' in document else document['events']
-    entries = [_read_entry(one, era) for one in found]
+    listed = document['items'] if 'items' in document else document['events']
+    entries = [_decode_entry(one, era) for one in listed]
     has_more = bool(document.get('more')) and bool(entries)
-    at = make_position(era, document['at'])
-    return StorePage(entries, at, has_more=has_more)
+    position = make_position(era, document['at'])
+    return StorePage(entries, position, has_more=has_more)
 
 
-def _read_entry(document, era):
-    # The store calls the key of an item by a name that has to do with TLS.
+def _decode_entry(document, era):
+    # The store's API names the key `tls-key`; it has nothing to do with TLS.
     key = document['tls-key']
-    at = make_position(era, document['revision'])
+    position = make_position(era, document['revision'])
     if document.get('gone'):
-        return StoreEntry(key, None, at)
-    return StoreEntry(key, _read_value(document), at)
+        return StoreEntry(key, None, position)
+    return StoreEntry(key, _decode_payload(document), position)
 
 
-def _read_value(document):
-    """Return the bytes of an item, empty if they cannot be read.
+def _decode_payload(document):
+    """Return the value in bytes, empty if it is malformed.
 
-    One item that another writer spoiled must not hide all others.
+    One malformed entry must not make the rest of the page unreadable.
     """
     try:
         return base64.b64decode(document['value'])
--- a/crankchute/platform/store_position.py
+++ b/crankchute/platform/store_position.py
@@ -1,30 +1,30 @@
-"""Where the store is in its history: how often it came back, and a revision.
+"""Positions in the history of the platform's store.
 
-A store that comes back from an older copy gives revisions out again.  A position
-is one number that rises all the same, since the era goes before the revision, so
-that whoever compares revisions may compare positions.
+The store counts its changes in revisions.  After it is restored from an older
+snapshot it assigns the lost revisions again; the era counts these restores.  A
+position combines both in one integer, with the era in the upper bits, so that
+positions increase over the whole history.
 """
 
 import re
 
-#: A busy store of 2,900 servers counts 2,400 revisions a second: this many bits
-#: last 14 years.
+#: Lasts 14 years at 2,400 revisions a second.
 _REVISION_BITS = 40
-#: A position must fit into 63 bits, to be told to others.
+#: Keeps positions within 63 bits, which peer messages can carry.
 _ERA_BITS = 23
 _ERA = re.compile(r'\s*(\d{1,7})\s*')
 
 
-def read_era(text):
-    """Return the era that an answer of the store tells, an int, or None.
+def parse_era(text):
+    """Return the era in a response header, an int, or None if it is invalid.
 
     Args:
-      text: The header's text, or None where the store tells none.
+      text: The text of the header, or None if it is missing.
     """
-    found = _ERA.fullmatch(text or '')
-    if found is None:
+    match = _ERA.fullmatch(text or '')
+    if match is None:
         return None
-    era = int(found.group(1))
+    era = int(match.group(1))
     return era if era < 1 << _ERA_BITS else None
 
 
@@ -32,7 +32,7 @@
     """Return the position of a revision in an era, an int.
 
     Args:
-      era: An int; 0 where the store tells none.
+      era: An int, 0 if unknown.
       revision: The store's revision, an int.
     """
     return (era << _REVISION_BITS) + revision
--- a/crankchute/platform/store_test.py
+++ b/crankchute/platform/store_test.py
@@ -1,4 +1,4 @@
-"""Tests of watching the store, with a fake client in virtual time."""
+"""Tests of watching the store, with a fake client and manual timers."""
 
 import base64
 
@@ -7,14 +7,14 @@
 
 from crankchute.core.fakes import ManualTimers
 from crankchute.errors import BackendError
-from crankchute.platform.store import StoreWatch, WatchPace
-from crankchute.platform.store_pages import read_page
+from crankchute.platform.store import StoreWatch, WatchPolicy
+from crankchute.platform.store_pages import decode_page
 
 PREFIX = 'servers/'
 
 
 class FakeCall:
-    """A call that waits for its answer."""
+    """A pending call."""
 
     def __init__(self, path, sink):
         self.path = path
@@ -30,8 +30,8 @@
         self.sink.on_done()
 
 
-class World:
-    """A watch, its calls, and what its listener was told."""
+class Harness:
+    """A watch with a fake client, and the events of its listener."""
 
     def __init__(self):
         self.timers = ManualTimers()
@@ -39,18 +39,18 @@
         self.settings = self
         self.store = ('127.0.0.1', 1)
         self.calls = []
-        self.told = []
-        self.retries_ms = (400, 800)
+        self.events = []
+        self.retry_delays = (400, 800)
         self.is_needed = True
-        self.is_told = False
-        self.pace = WatchPace(
+        self.is_fresh = False
+        self.policy = WatchPolicy(
             wait_ms=1000,
             is_needed=lambda: self.is_needed,
-            pause_ms=0,
-            is_told=lambda: self.is_told,
-            choose_retries=lambda: self.retries_ms,
+            batch_ms=0,
+            is_fresh=lambda: self.is_fresh,
+            choose_retry_delays=lambda: self.retry_delays,
         )
-        self.watch = StoreWatch(self, PREFIX, self, self.pace)
+        self.watch = StoreWatch(self, PREFIX, self, self.policy)
         self.watch.start()
 
     def send(self, address, payload, sink, options):
@@ -58,61 +58,63 @@
         self.calls.append(FakeCall(path, sink))
         return self.calls[-1]
 
-    def on_entries(self, entries, asked_ms, at):
-        self.told.append(('all', [one.key for one in entries], asked_ms, at))
+    def on_entries(self, entries, sent_ms, position):
+        self.events.append(
+            ('all', [one.key for one in entries], sent_ms, position),
+        )
 
-    def on_changes(self, entries, asked_ms):
+    def on_changes(self, entries, sent_ms):
         changes = [(one.key, one.payload) for one in entries]
-        self.told.append(('changed', changes, asked_ms))
+        self.events.append(('changed', changes, sent_ms))
 
-    def list_all(self, *keys, at=5, more=False):
-        found = [make_item(key) for key in keys]
-        document = {'items': found, 'more': more, 'at': at}
+    def answer_read(self, *keys, at=5, more=False):
+        listed = [make_entry(key) for key in keys]
+        document = {'items': listed, 'more': more, 'at': at}
         self.calls[-1].answer(document)
 
 
-def make_item(key):
+def make_entry(key):
     payload = base64.b64encode(key.encode()).decode()
     return {'tls-key': key, 'value': payload, 'revision': 1, 'lease': 0}
 
 
-def test_all_is_read_page_by_page_and_then_watched():
-    world = World()
-    world.list_all('servers/a', at=5, more=True)
-    # Every process reads further pages when it starts, so they are cheap ones.
-    assert 'after=servers%2Fa&stale=1' in world.calls[-1].path
-    world.list_all('servers/b', at=9)
-    assert world.told == [('all', ['servers/a', 'servers/b'], None, 5)]
-    # Pages are no snapshot, so changes are asked for from the first one on.
-    assert 'after=5&wait-ms=1000' in world.calls[-1].path
+def test_pages_are_read_before_the_watch():
+    harness = Harness()
+    harness.answer_read('servers/a', at=5, more=True)
+    # Later pages are stale reads, which cost the store less.
+    assert 'after=servers%2Fa&stale=1' in harness.calls[-1].path
+    harness.answer_read('servers/b', at=9)
+    assert harness.events == [('all', ['servers/a', 'servers/b'], None, 5)]
+    # Pages are not one snapshot, so the watch starts at the oldest position.
+    assert 'after=5&wait-ms=1000' in harness.calls[-1].path
 
 
-def test_changes_are_asked_for_from_the_oldest_page_on():
-    world = World()
-    world.list_all('servers/a', at=9, more=True)
-    world.list_all('servers/b', at=4)
-    assert world.told == [('all', ['servers/a', 'servers/b'], None, 4)]
-    assert 'after=4&wait-ms=1000' in world.calls[-1].path
+def test_watch_starts_at_the_oldest_page():
+    harness = Harness()
+    harness.answer_read('servers/a', at=9, more=True)
+    harness.answer_read('servers/b', at=4)
+    assert harness.events == [('all', ['servers/a', 'servers/b'], None, 4)]
+    assert 'after=4&wait-ms=1000' in harness.calls[-1].path
 
 
-def test_single_page_is_read_as_it_is_now():
-    world = World()
-    assert 'stale' not in world.calls[-1].path
-    world.list_all('servers/a', at=9)
-    assert world.told == [('all', ['servers/a'], 0, 9)]
+def test_single_page_is_not_a_stale_read():
+    harness = Harness()
+    assert 'stale' not in harness.calls[-1].path
+    harness.answer_read('servers/a', at=9)
+    assert harness.events == [('all', ['servers/a'], 0, 9)]
 
 
-def test_changes_are_told_with_the_moment_of_asking():
-    world = World()
-    world.list_all()
-    world.timers.advance(400)
+def test_changes_carry_the_time_of_sending():
+    harness = Harness()
+    harness.answer_read()
+    harness.timers.advance(400)
     gone = {'tls-key': 'servers/a', 'revision': 7, 'gone': True}
-    events = [make_item('servers/b'), gone]
-    world.calls[-1].answer({'events': events, 'at': 7})
+    events = [make_entry('servers/b'), gone]
+    harness.calls[-1].answer({'events': events, 'at': 7})
     changes = [('servers/b', b'servers/b'), ('servers/a', None)]
-    assert world.told[-1] == ('changed', changes, 0)
-    world.calls[-1].answer({'events': [], 'at': 7})
-    assert world.told[-1] == ('changed', [], 400)
+    assert harness.events[-1] == ('changed', changes, 0)
+    harness.calls[-1].answer({'events': [], 'at': 7})
+    assert harness.events[-1] == ('changed', [], 400)
 
 
 @pytest.mark.parametrize(
@@ -125,158 +127,154 @@
         lambda call: call.sink.on_error(BackendError('lost', sent=True)),
     ],
 )
-def test_failed_watch_goes_on_where_it_was(fail):
-    world = World()
-    world.list_all(at=5)
-    before = len(world.told)
-    fail(world.calls[-1])
-    assert world.watch.failed_ms == 0
-    world.timers.advance(300)
-    assert 'after=5' in world.calls[-1].path
-    assert len(world.told) == before
-
-
-def test_watch_that_hangs_is_given_up():
-    world = World()
-    world.list_all(at=5)
-    hung = world.calls[-1]
-    world.timers.advance(2500)
-    assert hung.cancelled
-    assert 'after=5' in world.calls[-1].path
-
-
-def test_lost_history_is_read_anew():
-    world = World()
-    world.list_all('servers/a')
-    world.calls[-1].answer({}, status=410)
-    assert 'kv-range' in world.calls[-1].path
-    world.list_all('servers/b')
-    assert world.told[-1][:2] == ('all', ['servers/b'])
-
-
-def test_refresh_asks_anew():
-    world = World()
-    world.list_all(at=5)
-    first = world.calls[-1]
-    world.watch.refresh()
+def test_failed_watch_continues_at_its_position(fail):
+    harness = Harness()
+    harness.answer_read(at=5)
+    before = len(harness.events)
+    fail(harness.calls[-1])
+    assert harness.watch.last_failure_ms == 0
+    harness.timers.advance(300)
+    assert 'after=5' in harness.calls[-1].path
+    assert len(harness.events) == before
+
+
+def test_unanswered_watch_times_out():
+    harness = Harness()
+    harness.answer_read(at=5)
+    pending = harness.calls[-1]
+    harness.timers.advance(2500)
+    assert pending.cancelled
+    assert 'after=5' in harness.calls[-1].path
+
+
+def test_compacted_history_is_read_again():
+    harness = Harness()
+    harness.answer_read('servers/a')
+    harness.calls[-1].answer({}, status=410)
+    assert 'kv-range' in harness.calls[-1].path
+    harness.answer_read('servers/b')
+    assert harness.events[-1][:2] == ('all', ['servers/b'])
+
+
+def test_refresh_replaces_the_pending_call():
+    harness = Harness()
+    harness.answer_read(at=5)
+    first = harness.calls[-1]
+    harness.watch.refresh()
     assert first.cancelled
-    assert 'after=5&wait-ms=1000' in world.calls[-1].path
-
-
-def test_watch_rests_while_others_tell_what_it_would():
-    world = World()
-    world.list_all(at=5)
-    world.is_needed = False
-    world.calls[-1].answer({'events': [], 'at': 6})
-    calls = len(world.calls)
-    world.timers.advance(5000)
-    world.watch.resume(9)
-    assert len(world.calls) == calls
-    world.is_needed = True
-    world.watch.resume(9)
-    # What the others told of is not asked for again.
-    assert 'after=9&wait-ms=1000' in world.calls[-1].path
-    world.watch.resume(12)
-    assert len(world.calls) == calls + 1
-
-
-def test_watch_that_fails_rests_once_others_tell():
-    world = World()
-    world.list_all(at=5)
-    world.calls[-1].answer({}, status=503)
-    world.is_needed = False
-    calls = len(world.calls)
-    world.timers.advance(5000)
-    assert len(world.calls) == calls
+    assert 'after=5&wait-ms=1000' in harness.calls[-1].path
+
+
+def test_watch_is_idle_while_not_needed():
+    harness = Harness()
+    harness.answer_read(at=5)
+    harness.is_needed = False
+    harness.calls[-1].answer({'events': [], 'at': 6})
+    calls = len(harness.calls)
+    harness.timers.advance(5000)
+    harness.watch.resume(9)
+    assert len(harness.calls) == calls
+    harness.is_needed = True
+    harness.watch.resume(9)
+    # Changes known from other instances are not requested again.
+    assert 'after=9&wait-ms=1000' in harness.calls[-1].path
+    harness.watch.resume(12)
+    assert len(harness.calls) == calls + 1
+
+
+def test_failing_watch_is_idle_once_not_needed():
+    harness = Harness()
+    harness.answer_read(at=5)
+    harness.calls[-1].answer({}, status=503)
+    harness.is_needed = False
+    calls = len(harness.calls)
+    harness.timers.advance(5000)
+    assert len(harness.calls) == calls
 
 
 @pytest.mark.parametrize(
-    ('retries_ms', 'most'),
+    ('retry_delays', 'most'),
     [((400, 800), 16), ((400, 3000), 8), ((1500, 3000), 6)],
 )
-def test_calls_that_fail_come_ever_more_seldom(retries_ms, most):
-    world = World()
-    world.retries_ms = retries_ms
-    world.list_all(at=5)
-    before = len(world.calls)
+def test_failing_calls_back_off(retry_delays, most):
+    harness = Harness()
+    harness.retry_delays = retry_delays
+    harness.answer_read(at=5)
+    before = len(harness.calls)
     for _ in range(1200):
-        if not world.calls[-1].cancelled:
-            world.calls[-1].cancelled = True
-            world.calls[-1].answer({}, status=503)
-        world.timers.advance(10)
-    assert len(world.calls) - before <= most
-
-
-def test_single_failure_is_no_outage():
-    """The store may have closed a connection that rested.
-
-    An instance that waited for 1.5 s then did not have a version in force
-    2.46 s after it was acknowledged, where 2 s are allowed.
-    """
-    world = World()
-    world.retries_ms = (1500, 3000)
-    world.list_all(at=5)
-    world.calls[-1].sink.on_error(BackendError('closed', sent=True))
-    world.timers.advance(250)
-    assert 'after=5' in world.calls[-1].path
-    assert len(world.calls) == 3
-
-
-def test_first_read_is_tried_again_soon():
-    """Whoever knows nothing yet does not wait as long as others."""
-    world = World()
-    world.retries_ms = (1500, 3000)
-    for tries in (2, 3, 4):
-        world.calls[-1].answer({}, status=503)
-        world.timers.advance(810)
-        assert len(world.calls) == tries
-
-
-def test_first_read_that_failed_is_not_needed_once_others_told():
-    world = World()
-    world.calls[-1].answer({}, status=503)
-    world.is_told = True
-    world.is_needed = False
-    world.timers.advance(5000)
-    assert len(world.calls) == 1
-    world.watch.resume(9)
-    assert len(world.calls) == 1
-    world.is_needed = True
-    world.watch.resume(9)
-    # A list of its own was never read, so all of it is.
-    assert 'kv-range' in world.calls[-1].path
-
-
-def test_regained_store_is_told_once():
-    world = World()
-    regained = []
-    world.watch.on_regained = lambda: regained.append(1)
-    world.list_all()
-    world.calls[-1].answer({}, status=503)
-    world.timers.advance(300)
-    world.calls[-1].answer({'events': [], 'at': 5})
-    world.calls[-1].answer({'events': [], 'at': 5})
-    assert regained == [1]
-
-
-def test_changes_that_come_together_are_one_call():
-    """Only a change is followed by a pause; nothing in it is missed."""
-    world = World()
-    world.pace.pause_ms = 700
-    world.list_all(at=5)
-    events = [make_item('servers/b')]
-    world.calls[-1].answer({'events': events, 'at': 7})
-    calls = len(world.calls)
-    world.timers.advance(600)
-    assert len(world.calls) == calls
-    world.timers.advance(200)
-    assert 'after=7' in world.calls[-1].path
-    world.calls[-1].answer({'events': [], 'at': 9})
-    assert 'after=9' in world.calls[-1].path
+        if not harness.calls[-1].cancelled:
+            harness.calls[-1].cancelled = True
+            harness.calls[-1].answer({}, status=503)
+        harness.timers.advance(10)
+    assert len(harness.calls) - before <= most
+
+
+def test_single_failure_is_retried_at_once():
+    """A closed idle connection must not delay a new configuration."""
+    harness = Harness()
+    harness.retry_delays = (1500, 3000)
+    harness.answer_read(at=5)
+    harness.calls[-1].sink.on_error(BackendError('closed', sent=True))
+    harness.timers.advance(250)
+    assert 'after=5' in harness.calls[-1].path
+    assert len(harness.calls) == 3
+
+
+def test_first_read_is_retried_early():
+    """An instance without data must not use the long retry delays."""
+    harness = Harness()
+    harness.retry_delays = (1500, 3000)
+    for attempts in (2, 3, 4):
+        harness.calls[-1].answer({}, status=503)
+        harness.timers.advance(810)
+        assert len(harness.calls) == attempts
+
+
+def test_failed_first_read_is_dropped_if_data_is_fresh():
+    harness = Harness()
+    harness.calls[-1].answer({}, status=503)
+    harness.is_fresh = True
+    harness.is_needed = False
+    harness.timers.advance(5000)
+    assert len(harness.calls) == 1
+    harness.watch.resume(9)
+    assert len(harness.calls) == 1
+    harness.is_needed = True
+    harness.watch.resume(9)
+    # Nothing was read before, so the whole list is.
+    assert 'kv-range' in harness.calls[-1].path
+
+
+def test_recovery_is_signalled_once():
+    harness = Harness()
+    recovered = []
+    harness.watch.on_recovered = lambda: recovered.append(1)
+    harness.answer_read()
+    harness.calls[-1].answer({}, status=503)
+    harness.timers.advance(300)
+    harness.calls[-1].answer({'events': [], 'at': 5})
+    harness.calls[-1].answer({'events': [], 'at': 5})
+    assert recovered == [1]
+
+
+def test_changes_are_batched():
+    """A response with changes delays the next call, which misses nothing."""
+    harness = Harness()
+    harness.policy.batch_ms = 700
+    harness.answer_read(at=5)
+    events = [make_entry('servers/b')]
+    harness.calls[-1].answer({'events': events, 'at': 7})
+    calls = len(harness.calls)
+    harness.timers.advance(600)
+    assert len(harness.calls) == calls
+    harness.timers.advance(200)
+    assert 'after=7' in harness.calls[-1].path
+    harness.calls[-1].answer({'events': [], 'at': 9})
+    assert 'after=9' in harness.calls[-1].path
 
 
 @pytest.mark.parametrize(
-    'spoiled',
+    'malformed',
     [
         {},
         {'value': None},
@@ -287,12 +285,12 @@
         {'value': '\u00fc'},
     ],
 )
-def test_item_that_cannot_be_read_hides_no_other(spoiled):
-    found = [
-        {'tls-key': 'servers/a', 'revision': 3, **spoiled},
+def test_malformed_entry_does_not_affect_others(malformed):
+    listed = [
+        {'tls-key': 'servers/a', 'revision': 3, **malformed},
         {'tls-key': 'servers/b', 'revision': 4, 'value': 'YQ=='},
     ]
-    page = read_page(orjson.dumps({'items': found, 'at': 5}))
+    page = decode_page(orjson.dumps({'items': listed, 'at': 5}))
     assert [one.key for one in page.entries] == ['servers/a', 'servers/b']
     assert page.entries[1].payload == b'a'
     assert page.entries[0].payload is not None
