--- a/crankchute/platform/standin_engine.py
+++ b/crankchute/platform/standin_engine.py
@@ -1,10 +1,10 @@
-"""A stand-in for an engine of the platform, for tests without the bench.
+"""A simulated engine of the platform for tests in one process.
 
-It answers requests, reports and orders as the platform's engines do: it runs
-only what is meant for its incarnation, streams events with rising ids, goes on
-after an event that the caller has, and takes part in joint reading with
-memory that was set aside before.  It answers at once, so tests wait for
-nothing; what it saw is kept for them.
+It implements the platform's protocol: it rejects requests for another
+incarnation, streams events with increasing ids, resumes a stream after the
+last event of the caller, reports its state, and reserves memory on order.
+Prompts can span the reserved memory of several engines.  It responds without
+delay and records the requests that it received.
 """
 
 import enum
@@ -14,7 +14,7 @@
 import orjson
 
 from crankchute.adapters.forward_server import ForwardServer
-from crankchute.platform.standin_words import write_words
+from crankchute.platform.standin_headers import make_state_headers
 from crankchute.platform.wire import (
     FAULTY_SERVER,
     HELPERS,
@@ -28,20 +28,20 @@
     TOKEN_USAGE,
 )
 
-#: When the engines started first, a Unix millisecond.
+#: The first start of every engine, in Unix milliseconds.
 _FIRST_START = 1_788_242_912_000
 _LOOPBACK = '127.0.0.1'
 _IDLE_MS = 60_000
-#: Where it tells whether it is well.
+#: The path of the health check.
 HEALTH_PATH = '/healthz'
-#: How many events an answer has, unless a test says otherwise.
+#: The number of events in a complete response.
 EVENTS = 5
-#: After how many events an answer that is broken off ends.
-_BEFORE_BREAK = 2
+#: The number of events before a response is aborted.
+_EVENTS_BEFORE_ABORT = 2
 
 
 class Behaviour(enum.Enum):
-    """What an engine does with the next request instead of answering it."""
+    """How an engine fails the next request."""
 
     FULL = 'full'
     SILENT = 'silent'
@@ -50,12 +50,12 @@
 
 
 class Run:
-    """A request that an engine began to work on.
+    """A request that an engine started to process.
 
     Attributes:
-      request_id: The id it came with.
-      first_event: The number of the first event that was written.
-      tickets: The ids of the memory that it used, a list.
+      request_id: The id in its header.
+      first_event: The number of the first event in the response.
+      tickets: The ids of the memory reservations that it used, a list.
     """
 
     __slots__ = ('first_event', 'request_id', 'tickets')
@@ -73,18 +73,18 @@
         self.tickets = tickets
 
 
-class Share:
-    """A part in a joint read, as a request names it.
+class HelperShare:
+    """The part of another engine in a request that spans several engines.
 
     Attributes:
       address: The helping engine's "IP:port".
-      ticket: The id of memory that is set aside there, or None.
+      ticket: The id of the memory reservation there, or None.
     """
 
     __slots__ = ('address', 'ticket')
 
     def __init__(self, text):
-        """Read one entry of the header.
+        """Parse an element of the header.
 
         Args:
           text: "IP:port" or "IP:port/ticket".
@@ -95,36 +95,35 @@
 
 
 class StandinEngine:
-    """One engine on loopback.
+    """A simulated engine on the loopback interface.
 
     Attributes:
-      identity: The id to which it answers; a restart keeps it.
-      born: When it started, a Unix millisecond.
-      memory_tokens: How many tokens of KV memory it has.
-      tickets: A map from the ids of memory set aside to tokens.
-      runs: Runs, a list.
+      identity: Its id; a restart keeps it.
+      born: The time of its start, in Unix milliseconds.
+      memory_tokens: The size of its KV memory in tokens.
+      tickets: The memory reservations, a map from id to tokens.
+      runs: The Runs that it started, a list.
       next_behaviours: Behaviours of the next requests, a deque.
-      answers_orders: Whether it answers orders, a bool.
-      ends_on: Bodies of requests under which its process ends, a set.
-      is_up: Whether its process runs, a bool.
-      is_leaving: Whether it says in all its answers that it leaves, a bool.
-      rest: What it says in Retry-After as it turns everything away, a string,
-        or None while it takes what comes.
-      limits: What it names as its limit in all its answers, strings, a header
-        each; none while it takes what comes.
-      arrivals: How many requests reached it, an int.
-      reached_ms: When anything reached it, requests, orders and questions, a
-        list of moments on the loop's clock.
-      questions: How many questions for its report or its health did, an int.
+      answers_orders: Whether it responds to orders, a bool.
+      ends_on: The bodies of requests that crash it, a set.
+      is_up: Whether it is running, a bool.
+      is_leaving: Whether its responses say that it is draining, a bool.
+      rest: The Retry-After header with which it rejects all requests, a
+        string, or None if it accepts them.
+      limits: The texts of the limit headers in its responses; empty for none.
+      arrivals: The number of requests received, an int.
+      reached_ms: The times at which requests, orders and probes arrived, on
+        the loop's clock, a list.
+      probes: The number of health checks and report queries received, an int.
     """
 
     def __init__(self, loop, identity, engines, memory_tokens):
-        """Start to listen.
+        """Start the server.
 
         Args:
           loop: The Loop.
           identity: A string.
-          engines: A map from address to engine, which this one joins.
+          engines: A map from address to engine; this one is added.
           memory_tokens: An int.
         """
         self._engines = engines
@@ -152,67 +151,67 @@
         self.limits = ()
         self.arrivals = 0
         self.reached_ms = []
-        self.questions = 0
+        self.probes = 0
         engines[self.address] = self
 
     @property
     def address(self):
-        """Where it listens, "IP:port"."""
+        """The address that it listens on, "IP:port"."""
         return f'{_LOOPBACK}:{self._server.port}'
 
     def restart(self):
-        """Start again under the same id, and know nothing of before."""
+        """Restart with the same id and empty memory."""
         self.born += 1
         self._sequence = 0
         self._used = set()
         self.tickets = {}
 
     def crash(self):
-        """End the process: nobody listens, and connections are closed."""
+        """Stop listening and close all connections."""
         self.is_up = False
         self._server.close()
 
-    def use(self, ticket):
-        """Take memory that was set aside into use.
+    def acquire(self, ticket):
+        """Mark a memory reservation as in use.
 
         Args:
-          ticket: Its id.
+          ticket: The id of the reservation.
         Returns:
-          How many tokens it is, or None if there is none or it is in use.
+          Its size in tokens, or None if it is unknown or already in use.
         """
         if ticket in self._used or ticket not in self.tickets:
             return None
         self._used.add(ticket)
         return self.tickets[ticket]
 
-    def put_back(self, ticket):
-        """End the use of memory, which stays set aside.
+    def release(self, ticket):
+        """Mark a memory reservation as unused; it stays reserved.
 
         Args:
-          ticket: Its id.
+          ticket: The id of the reservation.
         """
         self._used.discard(ticket)
 
     def _on_request(self, exchange):
         self.reached_ms.append(self._clock.now_ms())
         if exchange.target == ORDER_PATH:
-            take = self._take_order
+            process = self._process_order
         elif exchange.target in {REPORT_PATH, HEALTH_PATH}:
-            take = self._take_question
-            self.questions += 1
+            process = self._process_probe
+            self.probes += 1
         else:
-            take = self._take_work
+            process = self._process_request
             self.arrivals += 1
         if self.rest is None:
-            take(exchange)
+            process(exchange)
         else:
             self._reject(exchange, HTTPStatus.SERVICE_UNAVAILABLE, self)
 
-    def _take_question(self, exchange):
-        self._answer(exchange, HTTPStatus.OK, self._report())
+    def _process_probe(self, exchange):
+        self._reply(exchange, HTTPStatus.OK, self._report())
 
-    def _answer(self, exchange, status, document):
-        exchange.reply_json(status, document, write_words(self))
+    def _reply(self, exchange, status, document):
+        exchange.reply_json(status, document, make_state_headers(self))
 
     def _report(self):
         return {
@@ -228,24 +227,24 @@
             ],
         }
 
-    def _take_order(self, exchange):
+    def _process_order(self, exchange):
         if not self.answers_orders:
             return
         order = orjson.loads(exchange.body)
         if order['op'] == 'release':
             self.tickets.pop(order['id'], None)
-            self._answer(exchange, HTTPStatus.OK, {})
+            self._reply(exchange, HTTPStatus.OK, {})
             return
         tokens = order['token-count']
-        renewed = self.tickets.get(order['id'], 0)
-        free = self.memory_tokens + renewed - sum(self.tickets.values())
+        held = self.tickets.get(order['id'], 0)
+        free = self.memory_tokens + held - sum(self.tickets.values())
         if tokens > free:
-            self._answer(exchange, HTTPStatus.CONFLICT, {})
+            self._reply(exchange, HTTPStatus.CONFLICT, {})
             return
         self.tickets[order['id']] = tokens
-        self._answer(exchange, HTTPStatus.OK, {'free': free - tokens})
+        self._reply(exchange, HTTPStatus.OK, {'free': free - tokens})
 
-    def _take_work(self, exchange):
+    def _process_request(self, exchange):
         if exchange.header(TARGET_INCARNATION) not in {None, self.identity}:
             self._reject(exchange, HTTPStatus.MISDIRECTED_REQUEST, self)
             return
@@ -255,52 +254,53 @@
         if behaviour == Behaviour.FULL:
             self._reject(exchange, HTTPStatus.SERVICE_UNAVAILABLE, self)
             return
-        shares = _read_shares(exchange.header(HELPERS))
-        taken = []
-        faulty = self._take_memory(exchange, shares, taken)
+        shares = _parse_shares(exchange.header(HELPERS))
+        acquired = []
+        faulty = self._acquire_memory(exchange, shares, acquired)
         if faulty is not None:
-            self._put_back(taken)
+            self._release_all(acquired)
             self._reject(exchange, HTTPStatus.SERVICE_UNAVAILABLE, faulty)
             return
         self._run(exchange, shares, behaviour)
 
-    def _take_memory(self, exchange, shares, taken):
-        """Take the tickets of a request into use.
+    def _acquire_memory(self, exchange, shares, acquired):
+        """Acquire the reservations that a request names.
 
         Args:
           exchange: A ForwardExchange.
-          shares: Shares.
-          taken: A list to which the Shares are added whose tickets are used.
+          shares: HelperShares.
+          acquired: A list to which those with an acquired reservation are
+            added.
         Returns:
-          The engine that lacks what the request needs, or None.
+          The engine that lacks the memory, or None.
         """
         needed = _count_tokens(exchange.header(TOKEN_USAGE))
-        lent = 0
+        helper_tokens = 0
         for share in shares:
             helper = self._engines.get(share.address)
             if helper is None:
                 return self
             if share.ticket is not None:
-                tokens = helper.use(share.ticket)
+                tokens = helper.acquire(share.ticket)
                 if tokens is None:
                     return helper
-                taken.append(share)
-                lent += tokens
-        return self if needed - lent > self.memory_tokens else None
+                acquired.append(share)
+                helper_tokens += tokens
+        return self if needed - helper_tokens > self.memory_tokens else None
 
     def _reject(self, exchange, status, faulty):
         headers = [
             (REQUEST_ID, exchange.header(REQUEST_ID) or ''),
             (NOT_RUN, 'true'),
             (FAULTY_SERVER, faulty.address),
-            *write_words(self),
+            *make_state_headers(self),
         ]
         exchange.reply(status, b'', headers)
 
     def _run(self, exchange, shares, behaviour):
-        resumed = exchange.header(LAST_EVENT)
-        first = 0 if resumed is None else int(resumed) + 1
-        tickets = [one.ticket for one in shares if one.ticket is not None]
+        last_event = exchange.header(LAST_EVENT)
+        first = 0 if last_event is None else int(last_event) + 1
+        tickets = [share.ticket for share in shares if share.ticket is not None]
         request_id = exchange.header(REQUEST_ID)
         self.runs.append(Run(request_id, first, tickets))
         if exchange.body in self.ends_on:
@@ -312,34 +312,38 @@
             exchange.abort()
         else:
             self._write(exchange, first, behaviour)
-        self._put_back([one for one in shares if one.ticket is not None])
+        self._release_all(
+            [share for share in shares if share.ticket is not None],
+        )
 
-    def _put_back(self, shares):
+    def _release_all(self, shares):
         for share in shares:
-            self._engines[share.address].put_back(share.ticket)
+            self._engines[share.address].release(share.ticket)
 
     def _write(self, exchange, first, behaviour):
         headers = [
             (REQUEST_ID, exchange.header(REQUEST_ID)),
             (SIGNATURE, self.identity),
             ('Content-Type', 'text/event-stream'),
-            *write_words(self),
+            *make_state_headers(self),
         ]
         exchange.start(HTTPStatus.OK, headers)
-        is_broken = behaviour == Behaviour.BREAK_OFF
-        last = first + _BEFORE_BREAK if is_broken else EVENTS
+        is_aborted = behaviour == Behaviour.BREAK_OFF
+        last = first + _EVENTS_BEFORE_ABORT if is_aborted else EVENTS
         for number in range(first, last):
             exchange.send(b'id: %d\ndata: piece %d\n\n' % (number, number))
-        if is_broken:
+        if is_aborted:
             exchange.abort()
         else:
             exchange.finish()
 
 
 def _count_tokens(text):
-    """Return how much memory a request needs; one of a plain server none."""
+    """Return the tokens that a request needs, 0 if its header names none."""
     return sum(int(part) for part in text.split(',')) if text else 0
 
 
-def _read_shares(text):
-    return [] if text is None else [Share(one) for one in text.split(',')]
+def _parse_shares(text):
+    return (
+        [] if text is None else [HelperShare(part) for part in text.split(',')]
+    )
--- a/crankchute/platform/standin_store.py
+++ b/crankchute/platform/standin_store.py
@@ -1,7 +1,7 @@
-"""A stand-in of the platform's store at rest, for measurements.
+"""A simulated store of the platform without changes, for benchmarks.
 
-It knows one configuration, of a pool without servers' figures, and a number of
-servers, handed out in pages; a watch ends without a change.
+It has one configuration, whose pool names no engine parameters, and a list of
+servers in pages.  Watches end without a change.
 """
 
 import time
@@ -20,21 +20,21 @@
 _FIRST_PORT = 2000
 _TIMEOUT_MS = 10_000
 _MS_PER_SECOND = 1000
-#: The revision of all that stands there.
+#: The revision of all entries.
 REVISION = 1000
 
 
 class StoreStandin(BaseHTTPRequestHandler):
-    """The platform's store: one configuration, and servers in pages."""
+    """HTTP handler of the simulated store."""
 
     protocol_version = 'HTTP/1.1'
 
     def do_GET(self):  # noqa: N802  (named by the library)
-        """Answer a range or a watch."""
+        """Respond to a read or a watch."""
         parts = urlsplit(self.path)
-        asked = parse_qs(parts.query)
+        query_fields = parse_qs(parts.query)
         wait_ms, prefix, after = (
-            asked.get(name, [''])[0]
+            query_fields.get(name, [''])[0]
             for name in ('wait-ms', 'path-prefix', 'after')
         )
         if wait_ms:
@@ -43,11 +43,11 @@
         elif prefix == CONFIG_KEY:
             self._reply(_list_page([(CONFIG_KEY, _make_config())]))
         else:
-            listed = [one for one in _make_servers() if one[0] > after]
+            listed = [entry for entry in _make_servers() if entry[0] > after]
             self._reply(_list_page(listed))
 
     def log_message(self, *_args):
-        """Write nothing."""
+        """Disable the access log."""
 
     def _reply(self, document):
         body = orjson.dumps(document)
@@ -58,7 +58,7 @@
 
 
 def _list_page(listed):
-    found = [
+    entries = [
         {
             'tls-key': key,
             'value': b64encode(orjson.dumps(document)).decode(),
@@ -66,7 +66,7 @@
         }
         for key, document in listed[:_PAGE]
     ]
-    return {'items': found, 'more': len(listed) > _PAGE, 'at': REVISION}
+    return {'items': entries, 'more': len(listed) > _PAGE, 'at': REVISION}
 
 
 def _make_config():
--- a/crankchute/platform/standin_world.py
+++ b/crankchute/platform/standin_world.py
@@ -1,8 +1,7 @@
-"""Whole instances and servers on one loop, for tests without the bench.
+"""Instances and simulated servers on one event loop, for tests.
 
-The instances share what they learn over real connections; the servers are
-stand-ins that speak the wire.  Nobody plays the store: it is as if it were away
-but for what a test tells the instances.
+Instances and servers talk over loopback connections.  There is no store; tests
+pass configurations and servers to the instances directly.
 """
 
 from functools import partial
@@ -36,34 +35,34 @@
 from crankchute.platform.standin_engine import HEALTH_PATH, StandinEngine
 from crankchute.standins.ports import LOOPBACK, pick_ports
 
-#: How the end of a request looks that was answered.
+#: The final events of a successful request.
 ANSWERED = frozenset(('end', 'answer'))
-#: The body of a request that harms nobody.
+#: The body of an ordinary request, which crashes no server.
 SOUND = b'sound'
 _TICK_S = 0.001
-#: Far beyond what an answer takes between two parts of one process.
-_ARRIVAL_MS = 200
-#: So many requests at once reach every server of a few.
-_MANY = 24
+#: Much longer than a round trip on the loopback interface.
+_ROUND_TRIP_MS = 200
+#: Enough concurrent requests to reach every server of a small pool.
+_BATCH = 24
 _MEMORY = 100_000
 _DEADLINE_MS = 60_000
 _CONNECTIONS = 64
 _PROMPT = PromptSize(prompt=2000, answer=100)  # noqa: WPS432
-#: More than one engine's memory, so that orders go to others.
+#: Exceeds the memory of one engine, so that memory is reserved at others.
 HUGE = PromptSize(prompt=150_000, answer=100)  # noqa: WPS432
 _MS_PER_SECOND = 1000
-#: Nobody is harmed by another prompt, so none is refused for a crowd.
+#: Goals so long that no request is rejected because of load.
 PATIENT = MappingProxyType(
     {'goal_ms': _DEADLINE_MS, 'gap_ms': _DEADLINE_MS},
 )
 _UNUSED_MS = 9000
-#: Instances that start are told of so many others, the newest.
+#: How many of the newest instances are seeds of the next.
 _SEEDS = 3
 _RETRIES = RetryLimits(ratio=0, slack=100, window_ms=1000)
 
 
 class StandinWorld:
-    """Instances that share what they learn, and servers of one pool.
+    """Instances that are peers of one another, and servers of one pool.
 
     Attributes:
       loop: The Loop.
@@ -72,12 +71,12 @@
     """
 
     def __init__(self, instances=3, engines=12, *, is_plain=False):
-        """Start the processes, and wait until the instances know each other.
+        """Start all, and wait until the instances know each other.
 
         Args:
-          instances: How many instances.
-          engines: How many servers.
-          is_plain: Whether the pool is one of plain servers, not of engines.
+          instances: The number of instances.
+          engines: The number of servers.
+          is_plain: Whether the servers are plain ones instead of engines.
         """
         self.loop = Loop()
         self._by_address = {}
@@ -94,8 +93,8 @@
         self.loop.run_until(self._know_each_other, _TICK_S)
 
     def start_instance(self):
-        """Start one more instance, which is told of the servers only."""
-        identity = self._identify()
+        """Start an instance that knows the servers and its seeds."""
+        identity = self._make_identity()
         limits = ForwardLimits(
             retries=_RETRIES,
             address_ttl_ms=1000,
@@ -115,7 +114,7 @@
             self.loop,
             identity,
             limits,
-            self._wire(client, calls, reports),
+            self._make_wiring(client, calls, reports),
         )
         self._reports[node] = reports
         calls.listener = ServerNotices(
@@ -133,7 +132,7 @@
         return node
 
     def start_engine(self):
-        """Start a server, of which all instances are told."""
+        """Start a server and add it to all instances."""
         engine = StandinEngine(
             self.loop,
             f'i-{len(self.engines)}',
@@ -146,20 +145,21 @@
         return engine
 
     def wait(self, delay_ms):
-        """Let the loop run for a while."""
-        over = []
-        self.loop.timers.after(delay_ms, lambda: over.append(True))
-        self.loop.run_until(lambda: bool(over), _TICK_S)
+        """Run the loop for some milliseconds."""
+        elapsed = []
+        self.loop.timers.after(delay_ms, lambda: elapsed.append(True))
+        self.loop.run_until(lambda: bool(elapsed), _TICK_S)
 
     def submit(self, node, body, **fields):
         """Submit a request.
 
         Args:
-          node: The ForwardNode that takes it.
-          body: Its bytes.
+          node: The ForwardNode that receives it.
+          body: Bytes.
           fields: See make_job.
         Returns:
-          Its FakeSink, and a function that waits for its end and returns it.
+          Its FakeSink, and a function that waits for the request to end and
+          returns its final event.
         """
         now_ms = node.now_ms()
         request_id = f'r-{now_ms}'
@@ -190,20 +190,20 @@
         return sink, finish
 
     def ask(self, node, body, **fields):
-        """Return the end of a request, as its caller sees it."""
+        """Submit a request, and return its final event."""
         _sink, finish = self.submit(node, body, **fields)
         return finish()
 
     def send_load(self, nodes, per_second, for_ms):
-        """Submit requests evenly for a while, and wait until all have ended.
+        """Submit requests at a constant rate, and wait until all have ended.
 
         Args:
-          nodes: A list of ForwardNode that take them in turn; it may change
+          nodes: A list of ForwardNode that receive them in turn; it may change
             meanwhile.
-          per_second: How many in a second.
-          for_ms: For how long.
+          per_second: The rate.
+          for_ms: The duration in milliseconds.
         Returns:
-          Their ends, a list of strings.
+          The names of their final events, a list of strings.
         """
         waiting = []
 
@@ -217,17 +217,17 @@
         return [finish()[0] for finish in waiting]
 
     def cut_off(self, node):
-        """Cut an instance off from the others, but not from servers.
+        """Disconnect an instance from its peers, but not from servers.
 
         Args:
           node: Its ForwardNode.
         """
         node.peers.stop()
 
-        def lose(_address, _method, _request, on_reply, *, timeout_ms):
+        def drop_call(_address, _method, _request, on_reply, *, timeout_ms):
             self.loop.timers.after(timeout_ms, partial(on_reply, None))
 
-        node.peers.peer_client.call = lose
+        node.peers.peer_client.call = drop_call
 
     def reports(self, node):
         """Return the EngineReports of an instance.
@@ -237,9 +237,9 @@
         """
         return self._reports[node]
 
-    def _identify(self):
+    def _make_identity(self):
         number = len(self._peer_ports)
-        # One that is picked earlier may be taken by then.
+        # Picked late, so that no other process takes the port meanwhile.
         self._peer_ports.extend(pick_ports(1))
         seeds = self._peer_ports[-_SEEDS:]
         return InstanceIdentity(
@@ -250,7 +250,7 @@
             seeds=[(LOOPBACK, port) for port in seeds],
         )
 
-    def _wire(self, client, calls, reports):
+    def _make_wiring(self, client, calls, reports):
         return ForwardWiring(
             port=BackendCalls(client, calls),
             reservations=EngineOrders(calls, self.loop.timers),
@@ -262,7 +262,7 @@
 
     def _know_each_other(self):
         count = len(self.nodes)
-        return all(len(one.peers.membership) == count for one in self.nodes)
+        return all(len(node.peers.membership) == count for node in self.nodes)
 
 
 def list_engine(engine):
@@ -279,27 +279,27 @@
     )
 
 
-def ask_often(world, node, count=_MANY):
-    """Submit requests at the same time, and return their ends, a list."""
+def ask_often(world, node, count=_BATCH):
+    """Submit concurrent requests, and return the names of their final events."""
     waiting = [world.submit(node, SOUND, **PATIENT)[1] for _ in range(count)]
     return [finish()[0] for finish in waiting]
 
 
 def ask_for_work(world, engine):
-    """Let a request be answered by an engine, or turned away by it."""
+    """Submit requests until an engine has received one."""
     while not engine.arrivals:
         ask_often(world, world.nodes[0])
 
 
 def ask_for_memory(world, engine):
-    """Let memory be set aside at all engines; the prompt needs them."""
+    """Submit a request that needs memory of several engines."""
     world.ask(world.nodes[0], SOUND, size=HUGE, goal_ms=_DEADLINE_MS)
 
 
 def ask_for_report(world, engine):
-    """Let an engine be asked for its report."""
+    """Query the report of an engine."""
     node = world.nodes[0]
     backend = node.fleet.get(list_engine(engine).identity)
     world.reports(node).ask(backend, lambda _load: None)
-    world.loop.run_until(lambda: engine.questions, _TICK_S)
-    world.wait(_ARRIVAL_MS)
+    world.loop.run_until(lambda: engine.probes, _TICK_S)
+    world.wait(_ROUND_TRIP_MS)
--- a/crankchute/platform/store.py
+++ b/crankchute/platform/store.py
@@ -208,7 +208,7 @@
                 self._position = None
                 self.start()
             elif status == HTTPStatus.OK:
-                self._decode(body, on_page)
+                self._decode(on_page, body)
             else:
                 self._retry(f'status {status}')
 
@@ -230,7 +230,7 @@
             CallOptions(connect_ms=_CONNECT_MS),
         )
 
-    def _decode(self, body, on_page):
+    def _decode(self, on_page, body):
         try:
             page = decode_page(body, self._era)
         except (KeyError, TypeError, ValueError) as exc:
