--- a/crankchute/platform/standin_engine.py
+++ b/crankchute/platform/standin_engine.py
@@ -14,7 +14,7 @@
 import orjson
 
 from crankchute.adapters.forward_server import ForwardServer
-from crankchute.platform.standin_headers import make_state_headers
+from crankchute.platform.standin_words import make_state_headers
 from crankchute.platform.wire import (
     FAULTY_SERVER,
     HELPERS,
--- a/crankchute/platform/wire.py
+++ b/crankchute/platform/wire.py
@@ -1,29 +1,29 @@
-"""Names of headers and paths on the platform's wire, in lower case."""
+"""Header names, in lower case, and paths of the platform's HTTP APIs."""
 
 REQUEST_ID = 'x-crankchute-request-id'
-#: Proves that an answer came from a backend server, unchanged.
+#: Shows that a response is from a backend server and unmodified.
 SIGNATURE = 'x-crankchute-response-signature'
 DEADLINE_MS = 'x-crankchute-deadline-ms'
-#: Prompt tokens and the most answer tokens, separated by a comma.
+#: Prompt tokens and maximum answer tokens, separated by a comma.
 TOKEN_USAGE = 'x-crankchute-token-usage'
-#: The incarnation a request is meant for; every other one rejects it.
+#: The incarnation that a request is for; other incarnations reject it.
 TARGET_INCARNATION = 'x-crankchute-target-instance'
-#: The incarnation that answered.
+#: The incarnation that responded.
 OWN_INCARNATION = 'x-crankchute-instance-id'
 ACCOUNT = 'x-crankchute-tenant'
 NOT_RUN = 'x-crankchute-not-executed'
-#: The backend server at fault when several read one prompt.
+#: The backend server that failed when several process one prompt.
 FAULTY_SERVER = 'at-server'
-#: Requests running, requests waiting and slots of the answering server.
+#: Running requests, waiting requests and slots of the responding server.
 TOLD_LOAD = 'x-crankchute-server-load'
-#: Set to 1 in every answer of a server that leaves.
+#: Set to 1 in every response of a server that is draining.
 LEAVING = 'server-leaving'
-#: The requests a second that the answering server takes from all instances
-#: together, a decimal number, for as long as its answers name one.
+#: The requests per second, a decimal number, that the responding server accepts
+#: from all instances together.  Applies while its responses contain it.
 LIMIT = 'server-limit'
-#: How often the store came back from an older copy, in all its answers.
+#: How often the store was restored from an older snapshot; in all responses.
 STORE_ERA = 'store-era'
-#: With a 503: for how many seconds the server wants nothing from the asker.
+#: With a 503: for how many seconds the server must not be called again.
 RETRY_AFTER = 'retry-after'
 LAST_EVENT = 'last-event-id'
 HELPERS = 'helpers'
@@ -38,11 +38,11 @@
 RANGE_PATH = '/api/kv-range'
 WATCH_PATH = '/api/kv-watch'
 
-#: The key of the configuration and the prefix of backend servers' entries.
+#: The key of the configuration and the key prefix of backend servers.
 CONFIG_KEY = 'op/config'
 SERVERS_PREFIX = 'servers/'
 
-#: Headers that belong to one connection and are never passed on.
+#: Hop-by-hop headers, which are not forwarded.
 CONNECTION_HEADERS = frozenset(
     (
         'connection',
@@ -58,7 +58,8 @@
         'expect',
     )
 )
-#: Headers that only this system sets on a request to a backend server.
+#: Request headers that are removed from callers' requests, since only this
+#: system may set them.
 OWN_HEADERS = frozenset(
     (
         ACCOUNT,
@@ -74,16 +75,16 @@
 
 
 def drop_connection_headers(headers):
-    """Return the headers that may be passed on.
+    """Return the headers that may be forwarded.
 
     Args:
       headers: Pairs of name and text, strings.
     Returns:
-      A list of pairs, without those of one connection and those that the
-      Connection header names.
+      A list of pairs without hop-by-hop headers and those that the Connection
+      header names.
     """
-    named = set(CONNECTION_HEADERS)
+    dropped = set(CONNECTION_HEADERS)
     for name, text in headers:
         if name.lower() == 'connection':
-            named.update(part.strip().lower() for part in text.split(','))
-    return [pair for pair in headers if pair[0].lower() not in named]
+            dropped.update(part.strip().lower() for part in text.split(','))
+    return [pair for pair in headers if pair[0].lower() not in dropped]
