--- a/crankchute/platform/node.py
+++ b/crankchute/platform/node.py
@@ -48,7 +48,7 @@
 #: How long a new process does not watch, since it considers itself a reader
 #: until it knows the other instances.
 _STARTUP_MS = 1000
-#: How many instances read the store on behalf of all; tolerates the loss of two.
+#: How many active instances read the store for all; two of them may be lost.
 _READERS = 3
 #: The second and the longest delay between failing calls of the store.  Other
 #: instances get the data from the readers within a second and retry less often.
--- a/crankchute/platform/standin_world.py
+++ b/crankchute/platform/standin_world.py
@@ -35,7 +35,7 @@
 from crankchute.platform.standin_engine import HEALTH_PATH, StandinEngine
 from crankchute.standins.ports import LOOPBACK, pick_ports
 
-#: The final events of a successful request.
+#: The possible final events of a successful request.
 ANSWERED = frozenset(('end', 'answer'))
 #: The body of an ordinary request, which crashes no server.
 SOUND = b'sound'
