--- a/crankchute/platform/standin_words.py
+++ b/crankchute/platform/standin_words.py
@@ -1,18 +1,18 @@
-"""What a stand-in for a server says of itself in its answers."""
+"""Headers in which a simulated server reports its own state."""
 
 from crankchute.platform.wire import LEAVING, LIMIT, RETRY_AFTER
 
 
-def write_words(engine):
-    """Return the headers in which a server speaks of itself.
+def make_state_headers(engine):
+    """Return the headers that report the state of a server.
 
     Args:
-      engine: A StandinEngine.
+      engine: The simulated server.
     Returns:
       Pairs of name and text.
     """
-    words = [(LEAVING, '1')] if engine.is_leaving else []
+    headers = [(LEAVING, '1')] if engine.is_leaving else []
     if engine.rest is not None:
-        words.append((RETRY_AFTER, engine.rest))
-    words.extend((LIMIT, limit) for limit in engine.limits)
-    return words
+        headers.append((RETRY_AFTER, engine.rest))
+    headers.extend((LIMIT, limit) for limit in engine.limits)
+    return headers
