--- a/crankchute/entry/__init__.py
+++ b/crankchute/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The parts of an entry instance, which daemons and embedders wire up."""
+"""Components of an entry instance, assembled by daemons and embedders."""
