--- a/crankchute/entry/completion_request.py
+++ b/crankchute/entry/completion_request.py
@@ -1,4 +1,4 @@
-"""Reading and checking a caller's request before anything is done for it."""
+"""Parses and validates the requests of callers."""
 
 from http import HTTPStatus
 
@@ -13,27 +13,28 @@
 CLASS_HEADER = 'Crankchute-Class'
 DEADLINE_HEADER = 'Crankchute-Deadline-Ms'
 _DEFAULT_MAX_TOKENS = 16
-_LARGEST_MAX_TOKENS = 32_768
+_MAX_TOKENS_LIMIT = 32_768
 
 
 class Caller:
-    """Who asks, in which class, and how long the answer may take.
+    """The account, workload class and deadline of a request.
 
     Attributes:
       account: An Account.
       workload: A WorkloadClass.
-      remaining_ms: Milliseconds from arrival to deadline, an int.
+      remaining_ms: Milliseconds from the arrival of the request to its
+        deadline, an int.
     """
 
     __slots__ = ('account', 'remaining_ms', 'workload')
 
     def __init__(self, account, workload, remaining_ms):
-        """Create the record.
+        """Create the caller record.
 
         Args:
           account: An Account.
           workload: A WorkloadClass.
-          remaining_ms: Milliseconds.
+          remaining_ms: Milliseconds until the deadline.
         """
         self.account = account
         self.workload = workload
@@ -41,18 +42,18 @@
 
 
 class CompletionRequest:
-    """A checked request for a completion.
+    """A validated completion request.
 
     Attributes:
       job: The Job.
-      stream: Whether the answer is streamed, a bool.
-      is_chat: Whether the chat form of the interface is used, a bool.
+      stream: Whether the response is streamed, a bool.
+      is_chat: Whether it is a chat completion, a bool.
     """
 
     __slots__ = ('is_chat', 'job', 'stream')
 
     def __init__(self, job, *, stream, is_chat):
-        """Create the record.
+        """Create the request.
 
         Args:
           job: The Job.
@@ -65,7 +66,7 @@
 
 
 def read_caller(config, exchange):
-    """Find a request's account, class and deadline in its headers.
+    """Read the account, class and deadline from the request headers.
 
     Args:
       config: The Config in force.
@@ -73,7 +74,7 @@
     Returns:
       A Caller.
     Raises:
-      RequestRefused: If one is missing or not known.
+      RequestRefused: If a header is missing or invalid.
     """
     account = read_account(config, exchange)
     workload = _read_class(config, exchange, account)
@@ -83,7 +84,7 @@
             'missing_deadline',
             f'the header {DEADLINE_HEADER} is missing',
         )
-    remaining_ms = _read_remaining(text)
+    remaining_ms = _parse_deadline(text)
     if remaining_ms <= 0:
         raise bad_request('past_deadline', 'the deadline has passed')
     if remaining_ms > workload.max_deadline_ms:
@@ -95,7 +96,7 @@
 
 
 def read_account(config, exchange):
-    """Find a request's account.
+    """Read the account from the request headers.
 
     Args:
       config: The Config in force.
@@ -103,7 +104,7 @@
     Returns:
       An Account.
     Raises:
-      RequestRefused: If it is missing or not known.
+      RequestRefused: If the account is missing or unknown.
     """
     name = exchange.header(ACCOUNT_HEADER)
     if name is None:
@@ -122,17 +123,17 @@
 
 
 def read_completion(config, exchange, now_ms, request_id):
-    """Read a request for a completion.
+    """Parse a completion request.
 
     Args:
       config: The Config in force.
       exchange: An Exchange.
       now_ms: The time on this process's clock.
-      request_id: A new id.
+      request_id: The id to assign to the request.
     Returns:
       A CompletionRequest.
     Raises:
-      RequestRefused: If anything in it is wrong.
+      RequestRefused: If the request is invalid.
     """
     caller = read_caller(config, exchange)
     document = read_json(exchange)
@@ -161,21 +162,21 @@
         arrived_ms=now_ms,
         deadline_ms=now_ms + caller.remaining_ms,
         priority=caller.workload.priority,
-        pools=_find_pools(config, caller.workload, model.name),
+        pools=_select_model_pools(config, caller.workload, model.name),
     )
     stream = document.get('stream', False) is True
     return CompletionRequest(job, stream=stream, is_chat=is_chat)
 
 
 def find_service_pool(config, caller, name):
-    """Check that a caller may use a pool of plain services.
+    """Check that a caller may use a service pool.
 
     Args:
       config: The Config in force.
       caller: A Caller.
       name: The pool's name.
     Raises:
-      RequestRefused: If there is no such pool for this class.
+      RequestRefused: If the class of the caller has no such pool.
     """
     if name not in select_pools(config, caller.workload, None):
         raise RequestRefused(
@@ -186,33 +187,33 @@
 
 
 def bad_request(code, text):
-    """Return the refusal of a request that says something wrong.
+    """Return a RequestRefused with status 400.
 
     Args:
-      code: A short identifier for programs.
-      text: A sentence for people.
+      code: A machine-readable error code.
+      text: The error message.
     """
     return RequestRefused(HTTPStatus.BAD_REQUEST, code, text)
 
 
 def _read_class(config, exchange, account):
-    allowed = {
+    allowed_classes = {
         workload.name: workload
         for workload in config.classes.values()
         if match_labels(workload.accounts, account.labels)
     }
     name = exchange.header(CLASS_HEADER)
-    if name is None and len(allowed) == 1:
-        return next(iter(allowed.values()))
-    if name not in allowed:
+    if name is None and len(allowed_classes) == 1:
+        return next(iter(allowed_classes.values()))
+    if name not in allowed_classes:
         raise bad_request(
             'unknown_class',
-            f'{CLASS_HEADER} must be one of {sorted(allowed)}',
+            f'{CLASS_HEADER} must be one of {sorted(allowed_classes)}',
         )
-    return allowed[name]
+    return allowed_classes[name]
 
 
-def _read_remaining(text):
+def _parse_deadline(text):
     try:
         return int(text)
     except ValueError:
@@ -257,16 +258,16 @@
 
 def _read_max_tokens(document):
     count = document.get('max_tokens', _DEFAULT_MAX_TOKENS)
-    is_count = isinstance(count, int) and not isinstance(count, bool)
-    if not is_count or not 1 <= count <= _LARGEST_MAX_TOKENS:
+    is_integer = isinstance(count, int) and not isinstance(count, bool)
+    if not is_integer or not 1 <= count <= _MAX_TOKENS_LIMIT:
         raise bad_request(
             'bad_max_tokens',
-            f'max_tokens must be from 1 to {_LARGEST_MAX_TOKENS}',
+            f'max_tokens must be from 1 to {_MAX_TOKENS_LIMIT}',
         )
     return count
 
 
-def _find_pools(config, workload, model):
+def _select_model_pools(config, workload, model):
     pools = select_pools(config, workload, model)
     if pools:
         return pools
