--- a/crankchute/entry/inventory.py
+++ b/crankchute/entry/inventory.py
@@ -1,4 +1,4 @@
-"""The instance list as one process knows it."""
+"""The replicated list of entry instances and backend servers."""
 
 import orjson
 
@@ -8,11 +8,11 @@
 
 
 class Inventory:
-    """Holds the newest instance list; its revision only rises.
+    """Holds the newest list; its revision never decreases.
 
     Attributes:
       records: The Listed records, a list.
-      findings: What is wrong with records that were left out, a list.
+      findings: A Finding for each invalid record that was left out, a list.
     """
 
     def __init__(self):
@@ -24,16 +24,16 @@
 
     @property
     def seen_revision(self):
-        """The list's revision, an int."""
+        """The newest revision received, an int."""
         return self._replica.revision
 
     @property
     def revision(self):
-        """The list's revision, which is always in force."""
+        """The revision in force, which is always the newest received."""
         return self._replica.revision
 
     def subscribe(self, listener):
-        """Be told of each new list.
+        """Register a listener for new lists.
 
         Args:
           listener: A function of a list of Listed.
@@ -41,13 +41,13 @@
         self._listeners.append(listener)
 
     def changes_for(self, in_force, _seen):
-        """Return what another instance lacks, or None; see ConfigHolder."""
+        """Return the changes after a revision, or None; see ConfigHolder."""
         if self._replica.revision > in_force:
             return self._replica.changes_since(in_force)
         return None
 
     def offer(self, changes):
-        """Take a change set if it leads higher.
+        """Apply a change set if it raises the revision.
 
         Args:
           changes: A ChangeSet.
@@ -68,11 +68,11 @@
         return True
 
     def entry_instances(self):
-        """Return the listed entry instances, a list of Listed."""
-        return [one for one in self.records if one.kind == KIND_ENTRY]
+        """Return the entry instances, a list of Listed."""
+        return [record for record in self.records if record.kind == KIND_ENTRY]
 
     def _read_record(self, key, document):
-        """Take one record, or a finding; the others are not lost by it."""
+        """Parse a record; an invalid one becomes a finding."""
         try:
             self.records.append(Listed(orjson.loads(document)))
         except (KeyError, TypeError, ValueError) as exc:
--- a/crankchute/entry/inventory_test.py
+++ b/crankchute/entry/inventory_test.py
@@ -1,4 +1,4 @@
-"""Tests of the instance list."""
+"""Tests of the replicated instance list."""
 
 import orjson
 import pytest
@@ -6,7 +6,7 @@
 from crankchute.core.replica import ChangeSet, Entry
 from crankchute.entry.inventory import Inventory
 
-_GOOD = orjson.dumps(
+_VALID_RECORD = orjson.dumps(
     {
         'id': 'engine-0',
         'kind': 'engine',
@@ -17,26 +17,26 @@
 
 
 @pytest.mark.parametrize(
-    'bad',
+    'invalid_record',
     [
         b'not JSON',
         b'5',
         b'{}',
-        _GOOD.replace(b'127.0.0.1:1', b'127.0.0.1'),
+        _VALID_RECORD.replace(b'127.0.0.1:1', b'127.0.0.1'),
     ],
 )
-def test_bad_record_is_a_finding_and_loses_nothing(bad):
-    """The other records are taken, and the bad one is named."""
+def test_invalid_record_is_reported_and_others_are_kept(invalid_record):
     inventory = Inventory()
-    entries = {'good': Entry(1, _GOOD), 'bad': Entry(1, bad)}
+    entries = {'good': Entry(1, _VALID_RECORD), 'bad': Entry(1, invalid_record)}
     assert inventory.offer(ChangeSet(0, 1, entries))
     assert [record.identity for record in inventory.records] == ['engine-0']
-    assert [one.place for one in inventory.findings] == ['instances.bad']
+    assert [finding.place for finding in inventory.findings] == [
+        'instances.bad'
+    ]
 
 
-def test_list_never_goes_back():
-    """An older list is not taken."""
+def test_older_list_is_rejected():
     inventory = Inventory()
-    inventory.offer(ChangeSet(0, 2, {'good': Entry(2, _GOOD)}))
+    inventory.offer(ChangeSet(0, 2, {'good': Entry(2, _VALID_RECORD)}))
     assert not inventory.offer(ChangeSet(0, 1, {}))
     assert len(inventory.records) == 1
