--- a/crankchute/entry/crash_gossip.py
+++ b/crankchute/entry/crash_gossip.py
@@ -1,46 +1,46 @@
-"""News of crashes, with the gossip that instances exchange anyway."""
+"""Exchange of crash records between instances, as part of their gossip."""
 
 from crankchute.adapters.crash_records import read_crashes, write_crashes
 
-#: Of so many instances is kept what they remember; others are told again.
-_MOST_HEARD = 1024
+#: The digests of so many peers are kept; beyond it, records are sent again.
+_MAX_PEER_DIGESTS = 1024
 
 
 class CrashGossip:
-    """Tells other instances what this one remembers of crashes, where it differs."""
+    """Sends the local crash records to peers whose digest differs."""
 
     def __init__(self, ledger):
-        """Create the teller.
+        """Create the exchange.
 
         Args:
           ledger: The CrashLedger.
         """
         self._ledger = ledger
-        self._heard = {}
+        self._peer_digests = {}
 
     def add_to(self, gossip, address, now_ms):
-        """Add to a message what its receiver lacks.
+        """Add the crash records to a message if the receiver's differ.
 
         Args:
           gossip: A Gossip message.
-          address: The receiver's "IP:port", or None if it is not known.
+          address: The receiver's "IP:port", or None if unknown.
           now_ms: The time on this process's clock.
         """
         gossip.crash_digest = self._ledger.digest
-        if self._heard.get(address, 0) != gossip.crash_digest:
+        if self._peer_digests.get(address, 0) != gossip.crash_digest:
             gossip.crashes.CopyFrom(write_crashes(self._ledger.tell(), now_ms))
 
-    def take(self, gossip, address, now_ms):
-        """Take what another instance told.
+    def merge_from(self, gossip, address, now_ms):
+        """Merge the crash records of a received message.
 
         Args:
           gossip: A Gossip message.
-          address: The teller's "IP:port", or None if it is not known.
+          address: The sender's "IP:port", or None if unknown.
           now_ms: The time on this process's clock.
         """
-        if len(self._heard) >= _MOST_HEARD:
-            self._heard.clear()
-        self._heard[address] = gossip.crash_digest
-        news = read_crashes(gossip, now_ms)
-        if news is not None:
-            self._ledger.take(news)
+        if len(self._peer_digests) >= _MAX_PEER_DIGESTS:
+            self._peer_digests.clear()
+        self._peer_digests[address] = gossip.crash_digest
+        records = read_crashes(gossip, now_ms)
+        if records is not None:
+            self._ledger.take(records)
--- a/crankchute/entry/crash_gossip_test.py
+++ b/crankchute/entry/crash_gossip_test.py
@@ -1,4 +1,4 @@
-"""Tests of what instances tell each other of crashes with their gossip."""
+"""Tests of the exchange of crash records between instances."""
 
 import pytest
 
@@ -7,12 +7,12 @@
 from crankchute.entry.crash_gossip import CrashGossip
 from crankchute.proto import peer_pb2
 
-CULPRIT = 7
+FINGERPRINT = 7
 NAMES = ('a', 'b', 'c')
 
 
-class World:
-    """Instances that probe each other, one after the other."""
+class Cluster:
+    """Instances that exchange gossip in pairs."""
 
     def __init__(self):
         self.clock = ManualClock()
@@ -20,59 +20,61 @@
         self.gossips = {
             name: CrashGossip(ledger) for name, ledger in self.ledgers.items()
         }
-        self.told = 0
+        self.messages_with_records = 0
 
     def crash(self, name, server):
         self.clock.time_ms += 100
         now_ms = self.clock.time_ms
-        self.ledgers[name].note_crash(server, now_ms, [CULPRIT])
+        self.ledgers[name].note_crash(server, now_ms, [FINGERPRINT])
 
-    def probe(self, asker, asked):
+    def exchange(self, first, second):
         """Exchange gossip in both directions."""
-        self._pass(asker, asked)
-        self._pass(asked, asker)
+        self._send(first, second)
+        self._send(second, first)
 
-    def holding(self):
+    def instances_holding(self):
         return {
-            name for name, one in self.ledgers.items() if one.is_held(CULPRIT)
+            name
+            for name, ledger in self.ledgers.items()
+            if ledger.is_held(FINGERPRINT)
         }
 
-    def _pass(self, teller, hearer):
+    def _send(self, sender, receiver):
         gossip = peer_pb2.Gossip()
         now_ms = self.clock.time_ms
-        self.gossips[teller].add_to(gossip, hearer, now_ms)
-        self.told += gossip.HasField('crashes')
+        self.gossips[sender].add_to(gossip, receiver, now_ms)
+        self.messages_with_records += gossip.HasField('crashes')
         copied = peer_pb2.Gossip.FromString(gossip.SerializeToString())
-        self.gossips[hearer].take(copied, teller, now_ms)
+        self.gossips[receiver].merge_from(copied, sender, now_ms)
 
 
-@pytest.mark.parametrize('seen_by', ['aaa', 'abc', 'cab'])
-def test_all_hold_what_any_of_them_saw(seen_by):
-    world = World()
-    for number, name in enumerate(seen_by):
-        world.crash(name, f's{number}')
-    for asker, asked in ('ab', 'bc', 'ca', 'ab'):
-        world.probe(asker, asked)
-    assert world.holding() == set(NAMES)
-    before = world.told
-    for asker, asked in ('ab', 'bc', 'ca'):
-        world.probe(asker, asked)
-    assert world.told == before
+@pytest.mark.parametrize('witnesses', ['aaa', 'abc', 'cab'])
+def test_crashes_seen_by_different_instances_add_up(witnesses):
+    cluster = Cluster()
+    for number, name in enumerate(witnesses):
+        cluster.crash(name, f's{number}')
+    for first, second in ('ab', 'bc', 'ca', 'ab'):
+        cluster.exchange(first, second)
+    assert cluster.instances_holding() == set(NAMES)
+    before = cluster.messages_with_records
+    for first, second in ('ab', 'bc', 'ca'):
+        cluster.exchange(first, second)
+    assert cluster.messages_with_records == before
 
 
-def test_nothing_is_told_while_nothing_has_crashed():
-    world = World()
-    world.probe('a', 'b')
-    assert world.told == 0
+def test_no_records_are_sent_without_crashes():
+    cluster = Cluster()
+    cluster.exchange('a', 'b')
+    assert cluster.messages_with_records == 0
 
 
-def test_instance_that_starts_again_is_told_again():
-    world = World()
+def test_restarted_instance_receives_the_records_again():
+    cluster = Cluster()
     for number in range(3):
-        world.crash('a', f's{number}')
-    world.probe('a', 'b')
-    world.ledgers['b'] = CrashLedger(world.clock.now_ms)
-    world.gossips['b'] = CrashGossip(world.ledgers['b'])
-    assert world.holding() == {'a'}
-    world.probe('b', 'a')
-    assert world.holding() == {'a', 'b'}
+        cluster.crash('a', f's{number}')
+    cluster.exchange('a', 'b')
+    cluster.ledgers['b'] = CrashLedger(cluster.clock.now_ms)
+    cluster.gossips['b'] = CrashGossip(cluster.ledgers['b'])
+    assert cluster.instances_holding() == {'a'}
+    cluster.exchange('b', 'a')
+    assert cluster.instances_holding() == {'a', 'b'}
--- a/crankchute/entry/peering.py
+++ b/crankchute/entry/peering.py
@@ -238,7 +238,7 @@
         self.pull_if_behind(address, _CONFIG, gossip.config)
         self.pull_if_behind(address, _INSTANCES, gossip.instances)
         if self._crashes is not None:
-            self._crashes.take(gossip, address, self.now_ms())
+            self._crashes.merge_from(gossip, address, self.now_ms())
         return address
 
 
