--- a/crankchute/entry/peering.py
+++ b/crankchute/entry/peering.py
@@ -1,4 +1,4 @@
-"""Talking to the other entry instances: gossip, pulls, loans, forwarding."""
+"""Gossip and replication between entry instances."""
 
 from crankchute.adapters.peer_records import (
     read_changes,
@@ -12,17 +12,17 @@
 from crankchute.ports.peers import MembershipPorts
 from crankchute.proto import peer_pb2
 
-ROUND_MS = 1000
-_PROBE_MS = 500
-_INDIRECT_MS = 1200
-_PULL_MS = 3000
+_GOSSIP_INTERVAL_MS = 1000
+_PROBE_TIMEOUT_MS = 500
+_INDIRECT_PROBE_TIMEOUT_MS = 1200
+_PULL_TIMEOUT_MS = 3000
 _NOTIFY_FANOUT = 3
 _CONFIG = 'config'
 _INSTANCES = 'instances'
 
 
 class GrpcMembershipPorts(MembershipPorts):
-    """Probes over gRPC."""
+    """Sends the probes of the membership protocol over gRPC."""
 
     def __init__(self, peering, random):
         """Create the ports.
@@ -48,33 +48,35 @@
 
 
 class Peering:
-    """One instance's side of the protocol between instances.
+    """The peer-to-peer protocol at one instance.
 
     Attributes:
       membership: The Membership.
     """
 
-    def __init__(self, parts, own, stores, crashes=None):
-        """Create the peering; start() begins the rounds.
+    def __init__(self, context, own, stores, crashes=None):
+        """Create the peering; start() begins the gossip rounds.
 
         Args:
-          parts: An object with `timers`, `peer_client`, `random`, `metrics`.
+          context: An object with the attributes `timers`, `peer_client`,
+            `random` and `metrics`.
           own: This instance's Member.
-          stores: A map from "config" and "instances" to their holders.
-          crashes: A CrashLedger that is told of with gossip, or None.
+          stores: A dict that maps "config" and "instances" to the objects that
+            hold them.
+          crashes: A CrashLedger that is replicated with gossip, or None.
         """
-        self._timers = parts.timers
-        self._client = parts.peer_client
-        self._metrics = parts.metrics
+        self._timers = context.timers
+        self._client = context.peer_client
+        self._metrics = context.metrics
         self._stores = stores
         self._pulling = set()
-        self._crashes = None
+        self._crash_gossip = None
         if crashes is not None:
-            self._crashes = CrashGossip(crashes)
+            self._crash_gossip = CrashGossip(crashes)
             crashes.subscribe(self.notify)
         self.membership = Membership(
             own,
-            GrpcMembershipPorts(self, parts.random),
+            GrpcMembershipPorts(self, context.random),
         )
 
     @property
@@ -83,8 +85,8 @@
         return bool(self._pulling)
 
     def start(self):
-        """Begin the rounds of gossip."""
-        self._timers.every(ROUND_MS, self.membership.run_round)
+        """Start the periodic gossip rounds."""
+        self._timers.every(_GOSSIP_INTERVAL_MS, self.membership.run_round)
 
     def now_ms(self):
         """Return the time on this process's clock."""
@@ -95,35 +97,38 @@
 
         Args:
           address: "IP:port".
-          on_done: A function of a bool, whether it answered.
-          target: A MemberRecord that the peer shall probe, or None.
+          on_done: A function of a bool, whether the probe succeeded.
+          target: The MemberRecord of an instance that the peer probes in turn,
+            or None.
         """
         request = peer_pb2.ProbeRequest(
-            gossip=self._gossip(address),
+            gossip=self._make_gossip(address),
             target=target,
         )
-        timeout_ms = _PROBE_MS if target is None else _INDIRECT_MS
+        timeout_ms = (
+            _PROBE_TIMEOUT_MS if target is None else _INDIRECT_PROBE_TIMEOUT_MS
+        )
 
-        def take(reply):
+        def on_response(reply):
             if reply is None:
                 on_done(False)
                 return
-            self._take_gossip(reply.gossip, address)
+            self._apply_gossip(reply.gossip, address)
             on_done(target is None or reply.reached)
 
-        self.call(address, 'Probe', request, take, timeout_ms)
+        self.call(address, 'Probe', request, on_response, timeout_ms)
 
     def probe_through(self, helper, member, on_done):
-        """Ask a helper to probe a member; see MembershipPorts."""
+        """Probe a member through another one; see MembershipPorts."""
         target = write_member(member)
         self.probe(helper.peer_address, on_done, target)
 
     def call(self, address, method, request, on_reply, timeout_ms):
-        """Call a peer and count the message; see PeerClient."""
+        """Call a peer and count the messages; see PeerClient."""
         self._metrics.count('peer_messages', method)
         self._metrics.count('peer_bytes', amount=request.ByteSize())
 
-        def take(reply):
+        def on_response(reply):
             if reply is not None:
                 self._metrics.count('peer_bytes', amount=reply.ByteSize())
             on_reply(reply)
@@ -132,17 +137,17 @@
             address,
             method,
             request,
-            take,
+            on_response,
             timeout_ms=timeout_ms,
         )
 
     def notify(self):
-        """Tell a few peers at once that there is something new."""
+        """Gossip with a few peers immediately, to spread a change."""
         for peer in self.membership.choose_peers(_NOTIFY_FANOUT):
-            self.probe(peer.peer_address, _ignore)
+            self.probe(peer.peer_address, _ignore_answer)
 
     def seed(self, listed):
-        """Add the listed entry instances that nobody told of yet.
+        """Add listed entry instances that are not members yet.
 
         Args:
           listed: Listed records of entry instances.
@@ -162,22 +167,22 @@
         self.membership.seed(members)
 
     def on_probe(self, request, on_reply):
-        """Answer a probe, perhaps after probing a third instance."""
-        asker = self._take_gossip(request.gossip, None)
+        """Answer a probe, after probing its target if it has one."""
+        sender = self._apply_gossip(request.gossip, None)
         if not request.HasField('target'):
-            gossip = self._gossip(asker)
+            gossip = self._make_gossip(sender)
             on_reply(peer_pb2.ProbeReply(gossip=gossip, reached=True))
             return
         target = read_member(request.target)
 
-        def take(reached):
-            gossip = self._gossip(asker)
+        def on_probed(reached):
+            gossip = self._make_gossip(sender)
             on_reply(peer_pb2.ProbeReply(gossip=gossip, reached=reached))
 
-        self.probe(target.peer_address, take)
+        self.probe(target.peer_address, on_probed)
 
     def on_pull(self, request, on_reply):
-        """Answer what a peer lacks of a published store."""
+        """Send a peer the changes that it is missing from a store."""
         holder = self._stores.get(request.store)
         changes = None
         if holder is not None:
@@ -185,62 +190,64 @@
             changes = holder.changes_for(have.in_force, have.seen)
         on_reply(write_changes(changes))
 
-    def pull_if_behind(self, address, name, theirs):
-        """Fetch what a peer has and this instance lacks.
+    def pull_if_behind(self, address, name, remote):
+        """Fetch the changes of a store from a peer that has a newer revision.
 
         Args:
           address: The peer's "IP:port".
           name: The store's name.
-          theirs: The peer's revisions, with `in_force` and `seen`.
+          remote: The peer's revisions, with `in_force` and `seen`.
         """
-        mine = self._revisions(name)
-        is_behind = theirs.in_force > mine.in_force or theirs.seen > mine.seen
+        local = self._make_revisions(name)
+        is_behind = remote.in_force > local.in_force or remote.seen > local.seen
         if not is_behind or name in self._pulling or not address:
             return
         self._pulling.add(name)
-        request = peer_pb2.PullRequest(store=name, have=mine)
+        request = peer_pb2.PullRequest(store=name, have=local)
 
-        def take(reply):
+        def on_response(reply):
             self._pulling.discard(name)
             if reply is None or not reply.revision:
                 return
             if self._stores[name].offer(read_changes(reply)):
-                self.pull_if_behind(address, name, theirs)
+                self.pull_if_behind(address, name, remote)
 
-        self.call(address, 'Pull', request, take, _PULL_MS)
+        self.call(address, 'Pull', request, on_response, _PULL_TIMEOUT_MS)
 
-    def _gossip(self, address):
-        """Return the gossip for an instance, by its address or None."""
+    def _make_gossip(self, address):
+        """Return the gossip for a receiver, given its address or None."""
         own = self.membership.own
         own.in_force = self._stores[_CONFIG].revision
         records = self.membership.collect_updates()
         gossip = make_gossip(
             [write_member(member) for member in records],
-            self._revisions(_CONFIG),
-            self._revisions(_INSTANCES),
+            self._make_revisions(_CONFIG),
+            self._make_revisions(_INSTANCES),
         )
-        if self._crashes is not None:
-            self._crashes.add_to(gossip, address, self.now_ms())
+        if self._crash_gossip is not None:
+            self._crash_gossip.add_to(gossip, address, self.now_ms())
         return gossip
 
-    def _revisions(self, name):
+    def _make_revisions(self, name):
         holder = self._stores[name]
         return peer_pb2.Revisions(
             in_force=holder.revision,
             seen=holder.seen_revision,
         )
 
-    def _take_gossip(self, gossip, address):
-        """Take gossip; return the address of the instance that sent it."""
-        self.membership.merge([read_member(one) for one in gossip.members])
+    def _apply_gossip(self, gossip, address):
+        """Apply received gossip and return the address of its sender."""
+        self.membership.merge(
+            [read_member(record) for record in gossip.members]
+        )
         if address is None and gossip.members:
             address = gossip.members[0].peer_address
         self.pull_if_behind(address, _CONFIG, gossip.config)
         self.pull_if_behind(address, _INSTANCES, gossip.instances)
-        if self._crashes is not None:
-            self._crashes.merge_from(gossip, address, self.now_ms())
+        if self._crash_gossip is not None:
+            self._crash_gossip.merge_from(gossip, address, self.now_ms())
         return address
 
 
-def _ignore(_answered):
-    """Take the end of a probe that only spreads news."""
+def _ignore_answer(_answered):
+    """Ignore the outcome of a probe that only spreads changes."""
