--- a/crankchute/entry/node.py
+++ b/crankchute/entry/node.py
@@ -233,7 +233,7 @@
         )
 
     def _on_joined(self):
-        self.reader.end_join()
+        self.reader.finish_join()
         if self.phase == JOINING:
             self._enter(SERVING)
             self.peering.membership.announce(draining=False)
--- a/crankchute/entry/reading.py
+++ b/crankchute/entry/reading.py
@@ -1,61 +1,66 @@
-"""Who reads the platform: a few instances of each data centre.
+"""Selection of the instances that watch the platform.
 
-The rest get changes from peers.  An instance that cannot reach the platform
-says so, and the next in rank takes over; it keeps trying at a low rate.
+A few instances of each data centre watch it; the others receive changes from
+them.  An instance that cannot reach the platform announces that, so that the
+next one in the ranking takes over, and keeps retrying at a low rate.
 """
 
 from crankchute.adapters.log import log_change
 from crankchute.core.addresses import is_reader
 
-_CHECK_MS = 1000
-_FAILING_MS = 2000
-_FIRST_READ_MS = 400
+_CHECK_INTERVAL_MS = 1000
+_UNREACHABLE_AFTER_MS = 2000
+_MAX_START_DELAY_MS = 400
 
 
 class PlatformReader:
-    """Switches the watches of one instance on and off."""
+    """Turns the watches of one instance on and off."""
 
-    def __init__(self, parts, peering, sources):
-        """Start to check whether this instance shall read.
+    def __init__(self, context, peering, sources):
+        """Start to check periodically whether this instance is a reader.
 
         Args:
-          parts: An object with `timers` and `random`.
+          context: An object with the attributes `timers` and `random`.
           peering: The Peering.
           sources: A list of pairs of PlatformWatch and holder.
         """
-        self._timers = parts.timers
+        self._timers = context.timers
         self._peering = peering
         self._sources = sources
-        self._joining = True
-        delay_ms = _FIRST_READ_MS * parts.random.random()
-        self._timers.after(delay_ms, self._begin)
+        self._is_joining = True
+        delay_ms = _MAX_START_DELAY_MS * context.random.random()
+        self._timers.after(delay_ms, self._start)
 
-    def end_join(self):
-        """Leave the reading to the chosen readers from now on."""
-        self._joining = False
+    def finish_join(self):
+        """End the initial reads: from now on only chosen readers watch."""
+        self._is_joining = False
 
-    def _begin(self):
-        self._check()
-        self._timers.every(_CHECK_MS, self._check)
+    def _start(self):
+        self._update_watches()
+        self._timers.every(_CHECK_INTERVAL_MS, self._update_watches)
 
-    def _check(self):
+    def _update_watches(self):
         membership = self._peering.membership
-        self._announce_reach(membership)
-        chosen = is_reader(membership.believed_alive(), membership.own)
+        self._announce_reachability(membership)
+        is_chosen = is_reader(membership.believed_alive(), membership.own)
         for watch, holder in self._sources:
-            lacks = self._joining and not holder.seen_revision
-            if chosen or lacks or watch.failing_since_ms is not None:
+            needs_first_read = self._is_joining and not holder.seen_revision
+            if (
+                is_chosen
+                or needs_first_read
+                or watch.failing_since_ms is not None
+            ):
                 watch.switch_on(holder)
             elif watch.is_on:
                 watch.switch_off()
 
-    def _announce_reach(self, membership):
+    def _announce_reachability(self, membership):
         now_ms = self._timers.clock.now_ms()
-        reaches = not any(
+        is_reachable = not any(
             watch.failing_since_ms is not None
-            and now_ms - watch.failing_since_ms > _FAILING_MS
+            and now_ms - watch.failing_since_ms > _UNREACHABLE_AFTER_MS
             for watch, _ in self._sources
         )
-        if reaches != membership.own.reads_platform:
-            membership.announce(reads_platform=reaches)
-            log_change('platform_reached', reached=reaches)
+        if is_reachable != membership.own.reads_platform:
+            membership.announce(reads_platform=is_reachable)
+            log_change('platform_reached', reached=is_reachable)
