--- a/crankchute/entry/borrowing.py
+++ b/crankchute/entry/borrowing.py
@@ -1,70 +1,76 @@
-"""Lending and borrowing portions of account limits between instances."""
+"""Loans of account limits between entry instances.
+
+An instance whose share of an account's limits is short borrows from the other
+instances that serve the account.
+"""
 
 from crankchute.core.addresses import list_sharers
 from crankchute.proto import peer_pb2
 
-_CHECK_MS = 500
-_ASK_MS = 300
-_WANTED_SHARE = 0.5
+_CHECK_INTERVAL_MS = 500
+_REQUEST_TIMEOUT_MS = 300
+_REQUESTED_FRACTION = 0.5
 
 
-class PortionExchange:
-    """Asks the sharers of a pressed account, and answers theirs."""
+class LimitLending:
+    """Requests loans for accounts that are short, and grants loans to peers."""
 
-    def __init__(self, parts, peering, limits, config):
-        """Start to check for pressed accounts.
+    def __init__(self, context, peering, limits, config):
+        """Start the periodic check for accounts that are short.
 
         Args:
-          parts: An object with `timers`.
+          context: An object with a `timers` attribute.
           peering: The Peering.
           limits: The AccountLimits.
           config: The ConfigHolder.
         """
-        self._timers = parts.timers
+        self._timers = context.timers
         self._peering = peering
         self._limits = limits
         self._config = config
-        self._timers.every(_CHECK_MS, self._check)
+        self._timers.every(_CHECK_INTERVAL_MS, self._check_shortages)
 
     def on_borrow(self, request, on_reply):
-        """Answer a peer that asks for a part of this instance's portion."""
+        """Grant a peer as much of the local share as is unused."""
         granted = 0
         config = self._config.config
         account = config and config.accounts.get(request.account)
         if account is not None:
             now_ms = self._timers.clock.now_ms()
-            use = self._limits.use_of(account)
-            in_use = use.used_fraction(now_ms)
-            granted = use.portion.lend(request.wanted, in_use, now_ms)
+            usage = self._limits.use_of(account)
+            used_fraction = usage.used_fraction(now_ms)
+            granted = usage.portion.lend(request.wanted, used_fraction, now_ms)
         on_reply(peer_pb2.BorrowReply(granted=granted))
 
-    def _check(self):
+    def _check_shortages(self):
         self._limits.forget_idle()
-        for use in self._limits.pressed():
-            self._ask_sharers(use)
+        for usage in self._limits.pressed():
+            self._request_from_sharers(usage)
 
-    def _ask_sharers(self, use):
-        account = use.account
+    def _request_from_sharers(self, usage):
+        account = usage.account
         membership = self._peering.membership
-        sharers = list_sharers(
+        sharing_members = list_sharers(
             membership.believed_alive(),
             account.name,
             account.width,
         )
-        for sharer in sharers:
-            if sharer.identity != membership.own.identity:
-                self._ask(use, sharer)
+        for member in sharing_members:
+            if member.identity != membership.own.identity:
+                self._request_loan(usage, member)
 
-    def _ask(self, use, sharer):
-        asked_ms = self._timers.clock.now_ms()
+    def _request_loan(self, usage, member):
+        requested_ms = self._timers.clock.now_ms()
         request = peer_pb2.BorrowRequest(
-            account=use.account.name,
-            wanted=_WANTED_SHARE / use.account.width,
+            account=usage.account.name,
+            wanted=_REQUESTED_FRACTION / usage.account.width,
         )
 
-        def take(reply):
-            if reply is not None:
-                use.portion.borrow(reply.granted, asked_ms)
+        def on_response(response):
+            if response is not None:
+                usage.portion.borrow(response.granted, requested_ms)
 
-        address = sharer.peer_address
-        self._peering.call(address, 'Borrow', request, take, _ASK_MS)
+        address = member.peer_address
+        self._peering.call(
+            address, 'Borrow', request, on_response, _REQUEST_TIMEOUT_MS
+        )
--- a/crankchute/entry/node.py
+++ b/crankchute/entry/node.py
@@ -21,7 +21,7 @@
 from crankchute.core.limits import AccountLimits
 from crankchute.core.membership import Member
 from crankchute.core.service_flow import ServiceRouter
-from crankchute.entry.borrowing import PortionExchange
+from crankchute.entry.borrowing import LimitLending
 from crankchute.entry.caller_api import CallerApi
 from crankchute.entry.state_dump import dump_node
 from crankchute.entry.inventory import Inventory
@@ -115,7 +115,7 @@
 
     def on_borrow(self, request, on_reply):
         """See PeerServicer."""
-        self.portions.on_borrow(request, on_reply)
+        self.limit_lending.on_borrow(request, on_reply)
 
     def _wire_network(self, loop):
         settings = self.settings
@@ -165,7 +165,7 @@
             self.binding,
         )
         self.owner = Owner(self, self.peering, self.config, self.fleet)
-        self.portions = PortionExchange(
+        self.limit_lending = LimitLending(
             self,
             self.peering,
             self.limits,
