--- a/crankchute/entry/caller_api.py
+++ b/crankchute/entry/caller_api.py
@@ -62,7 +62,7 @@
         )
         answer = make_answer(exchange, request, lambda: self._drop(request))
         self._answers[request.job.request_id] = answer
-        node.owner.note_demand(request.job)
+        node.reconciler.record_demand(request.job)
         flow = node.dispatcher.submit(request.job, answer)
         if flow is not None and not flow.ended:
             exchange.on_gone = lambda: self._give_up(request, flow)
--- a/crankchute/entry/node.py
+++ b/crankchute/entry/node.py
@@ -26,7 +26,7 @@
 from crankchute.entry.state_dump import dump_node
 from crankchute.entry.inventory import Inventory
 from crankchute.entry.joining import Joiner
-from crankchute.entry.owning import Owner
+from crankchute.entry.owning import EngineReconciler
 from crankchute.entry.peering import Peering
 from crankchute.entry.reading import PlatformReader
 from crankchute.entry.service_desk import ServiceDesk
@@ -164,7 +164,7 @@
             self.peering,
             self.binding,
         )
-        self.owner = Owner(self, self.peering, self.config, self.fleet)
+        self.reconciler = EngineReconciler(self, self.peering, self.config, self.fleet)
         self.limit_lending = LimitLending(
             self,
             self.peering,
--- a/crankchute/entry/owning.py
+++ b/crankchute/entry/owning.py
@@ -1,4 +1,4 @@
-"""Reconciling the engines that this instance owns with the configuration."""
+"""Reconciliation of the engines that this instance owns with the plan."""
 
 from http import HTTPStatus
 
@@ -12,46 +12,47 @@
 from crankchute.core.placement import EngineSlot, may_switch, plan_models
 from crankchute.ports.http import WholeResponse
 
-_PASS_MS = 1000
-_DEMAND_KEPT = 0.8
+_RECONCILE_INTERVAL_MS = 1000
+_DEMAND_DECAY = 0.8
 
 
-class Owner:
-    """Sends fenced orders to owned engines whose state is not as wanted."""
+class EngineReconciler:
+    """Sends fenced orders to owned engines that differ from the plan."""
 
-    def __init__(self, parts, peering, config, fleet):
-        """Start the passes.
+    def __init__(self, context, peering, config, fleet):
+        """Start the periodic reconciliation.
 
         Args:
-          parts: An object with `timers`, `http_client` and `metrics`.
+          context: An object with the attributes `timers`, `http_client` and
+            `metrics`.
           peering: The Peering.
           config: The ConfigHolder.
           fleet: The Fleet.
         """
-        self._timers = parts.timers
-        self._client = parts.http_client
-        self._metrics = parts.metrics
+        self._timers = context.timers
+        self._client = context.http_client
+        self._metrics = context.metrics
         self._peering = peering
         self._config = config
         self._fleet = fleet
         self._ownership = Ownership()
         self._demand = {}
         self._owners = {}
-        self._version = None
-        self._timers.every(_PASS_MS, self.run_pass)
+        self._membership_version = None
+        self._timers.every(_RECONCILE_INTERVAL_MS, self.reconcile)
 
     @property
     def owned(self):
-        """The ids of the engines owned now."""
+        """The ids of the engines that this instance owns."""
         return self._ownership.owned()
 
-    def note_demand(self, job):
-        """Count a request towards its model's demand."""
-        known = self._demand.get(job.model, 0)
-        self._demand[job.model] = known + job.tokens
+    def record_demand(self, job):
+        """Add the tokens of a request to the demand for its model."""
+        previous_tokens = self._demand.get(job.model, 0)
+        self._demand[job.model] = previous_tokens + job.tokens
 
-    def run_pass(self):
-        """Compare every owned engine with the plan and order what differs."""
+    def reconcile(self):
+        """Send an order to each owned engine that differs from the plan."""
         config = self._config.config
         if config is None or not config.policy.placement:
             return
@@ -59,19 +60,23 @@
             if pool.kind == 'model':
                 self._reconcile_pool(config, pool)
         for model in self._demand:
-            self._demand[model] *= _DEMAND_KEPT
+            self._demand[model] *= _DEMAND_DECAY
 
     def _reconcile_pool(self, config, pool):
         now_ms = self._timers.clock.now_ms()
-        alive = [
+        reporting = [
             backend
             for backend in list_members(config, self._fleet, pool.name)
             if _is_reporting(backend, now_ms)
         ]
-        slots = [EngineSlot(one.identity, one.models) for one in alive]
+        slots = [
+            EngineSlot(engine.identity, engine.models) for engine in reporting
+        ]
         plan = plan_models(pool, slots, self._demand)
-        held = {one.identity: one.load.holding for one in alive}
-        for backend in alive:
+        holdings = {
+            engine.identity: engine.load.holding for engine in reporting
+        }
+        for backend in reporting:
             self._update_owner(backend, now_ms)
             model = config.models[plan[backend.identity]]
             wanted = Holding(
@@ -79,15 +84,15 @@
                 model.adapters,
                 pool.role,
             )
-            if not may_switch(backend.identity, held, wanted):
+            if not may_switch(backend.identity, holdings, wanted):
                 continue
             if self._may_order(pool, backend, now_ms):
                 self._order(backend, wanted)
 
     def _update_owner(self, backend, now_ms):
         membership = self._peering.membership
-        if self._version != membership.version:
-            self._version = membership.version
+        if self._membership_version != membership.version:
+            self._membership_version = membership.version
             self._owners = {}
         owner = self._owners.get(backend.identity)
         if owner is None:
@@ -119,7 +124,7 @@
         payload = build_request('POST', address, '/v1/orders', body)
         self._metrics.count('orders_sent')
 
-        def take(status, _body):
+        def on_response(status, _body):
             log_change(
                 'engine_ordered',
                 engine=backend.identity,
@@ -127,7 +132,9 @@
                 accepted=status == HTTPStatus.OK,
             )
 
-        self._client.send(address, payload, WholeResponse(take, _ignore))
+        self._client.send(
+            address, payload, WholeResponse(on_response, _ignore_failure)
+        )
 
 
 def _is_reporting(backend, now_ms):
@@ -136,5 +143,5 @@
     return now_ms - backend.load.at_ms <= SILENT_MS
 
 
-def _ignore(_exc):
-    """Take a failure; the next pass orders again."""
+def _ignore_failure(_exc):
+    """Ignore a failure: the next reconciliation sends the order again."""
--- a/crankchute/entry/state_dump.py
+++ b/crankchute/entry/state_dump.py
@@ -23,7 +23,7 @@
             _dump_member(one) for one in node.peering.membership.all_members()
         ],
         'backends': [_dump_backend(one, now_ms) for one in node.fleet],
-        'owned_engines': node.owner.owned,
+        'owned_engines': node.reconciler.owned,
         'load_polls': node.poller.polls,
         'requests': {
             'in_progress': node.dispatcher.in_progress,
