--- a/crankchute/entry/answers.py
+++ b/crankchute/entry/answers.py
@@ -1,4 +1,4 @@
-"""Writing completions in the usual form, streamed or whole."""
+"""Writes OpenAI-compatible completion responses, streamed or buffered."""
 
 import time
 from http import HTTPStatus
@@ -15,31 +15,31 @@
 from crankchute.core.outcomes import Outcome
 from crankchute.ports.engines import RequestSink
 
-_STATUS_OF = MappingProxyType(
+_STATUS_BY_OUTCOME = MappingProxyType(
     {
         Outcome.NOT_RUN: HTTPStatus.SERVICE_UNAVAILABLE,
         Outcome.UNKNOWN: HTTPStatus.BAD_GATEWAY,
         Outcome.FAILED: HTTPStatus.BAD_GATEWAY,
     }
 )
-_LIMIT_CODES = frozenset(('account_limit',))
+_RATE_LIMIT_CODES = frozenset(('account_limit',))
 _DEADLINE_CODE = 'deadline_exceeded'
 _MS_PER_SECOND = 1000
-_MARK = '\x00mark'
-_MARK_JSON = orjson.dumps(_MARK)
-_PLACE_JSON = b'"offset":0,"next":0'
+_PLACEHOLDER = '\x00mark'
+_PLACEHOLDER_JSON = orjson.dumps(_PLACEHOLDER)
+_OFFSET_JSON = b'"offset":0,"next":0'
 
 
-class CompletionAnswer(RequestSink):
-    """Writes one answer; what both forms have in common."""
+class CompletionResponse(RequestSink):
+    """Base class of streamed and buffered completion responses."""
 
     def __init__(self, exchange, request, on_end):
-        """Create the answer.
+        """Create the response.
 
         Args:
           exchange: An Exchange.
           request: A CompletionRequest.
-          on_end: A function without arguments, called at the end.
+          on_end: A function without arguments, called when the response ends.
         """
         self._exchange = exchange
         self._request = request
@@ -48,20 +48,20 @@
 
     def on_refused(self, refusal):
         """See RequestSink."""
-        reply_refusal(self._exchange, refusal)
+        send_refusal(self._exchange, refusal)
         self._on_end()
 
     def keep_alive(self):
-        """Send nothing: a whole answer cannot begin before its end."""
+        """Do nothing: a buffered response starts when it is complete."""
 
-    def _document(self, choice, **more):
+    def _document(self, choice, **extra_fields):
         is_chat = self._request.is_chat
         return {
             'id': self._request.job.request_id,
             'object': 'chat.completion' if is_chat else 'text_completion',
             'created': self._created,
             'model': self._request.job.model,
-            **more,
+            **extra_fields,
             'choices': [choice],
         }
 
@@ -74,11 +74,11 @@
         }
 
 
-class WholeAnswer(CompletionAnswer):
-    """Gathers the tokens and replies once."""
+class BufferedResponse(CompletionResponse):
+    """Collects all tokens and sends a single JSON document."""
 
     def __init__(self, exchange, request, on_end):
-        """See CompletionAnswer."""
+        """See CompletionResponse."""
         super().__init__(exchange, request, on_end)
         self._texts = []
 
@@ -88,59 +88,70 @@
 
     def on_end(self, count):
         """See RequestSink."""
-        text = ''.join(self._texts)
+        token_text = ''.join(self._texts)
         choice = {'index': 0, 'finish_reason': 'length', 'logprobs': None}
         if self._request.is_chat:
-            choice['message'] = {'role': 'assistant', 'content': text}
+            choice['message'] = {'role': 'assistant', 'content': token_text}
         else:
-            choice['text'] = text
+            choice['text'] = token_text
         document = self._document(choice, usage=self._usage(count))
         self._exchange.reply(HTTPStatus.OK, document)
         self._on_end()
 
 
 class EventTemplate:
-    """The events of one answer, in which only offset and text differ.
+    """Renders the events of one response, which differ in offset and text.
 
-    Writing the whole document for each token was half of a token's cost.
+    Serializing the whole event for each token would be too expensive.
     """
 
-    __slots__ = ('_before', '_between', '_tail')
+    __slots__ = ('_middle', '_prefix', '_suffix')
 
     def __init__(self, event):
-        """Cut an event into what stays and what differs.
+        """Split an event around its variable parts.
 
         Args:
-          event: The bytes of an event with offset 0 and the mark as text.
+          event: The bytes of an event with offset 0 and the placeholder text.
         """
-        head, tail = event.split(_MARK_JSON)
-        before, after = head.split(_PLACE_JSON)
-        self._before = before
-        self._between = after
-        self._tail = tail
+        head, suffix = event.split(_PLACEHOLDER_JSON)
+        prefix, middle = head.split(_OFFSET_JSON)
+        self._prefix = prefix
+        self._middle = middle
+        self._suffix = suffix
 
     def render(self, offset, tokens):
         """Return the bytes of an event.
 
         Args:
-          offset: The index of its first token.
-          tokens: The texts of its tokens, a list.
+          offset: The index of the first token in the event.
+          tokens: A list of token strings.
         """
-        place = b'"offset":%d,"next":%d' % (offset, offset + len(tokens))
-        text = orjson.dumps(''.join(tokens))
-        return b''.join((self._before, place, self._between, text, self._tail))
-
-
-class StreamedAnswer(CompletionAnswer):
-    """Sends each token as an event; the last event says that it is whole."""
+        offset_fields = b'"offset":%d,"next":%d' % (
+            offset,
+            offset + len(tokens),
+        )
+        token_text = orjson.dumps(''.join(tokens))
+        return b''.join(
+            (
+                self._prefix,
+                offset_fields,
+                self._middle,
+                token_text,
+                self._suffix,
+            )
+        )
+
+
+class StreamedResponse(CompletionResponse):
+    """Sends tokens as server-sent events; the last one reports the usage."""
 
     def __init__(self, exchange, request, on_end):
-        """See CompletionAnswer."""
+        """See CompletionResponse."""
         super().__init__(exchange, request, on_end)
         self._template = None
 
     def keep_alive(self):
-        """Tell a caller that waits long that its request is still held."""
+        """Send a keep-alive comment while the caller waits for tokens."""
         if not self._exchange.started:
             self._exchange.start_stream(EVENT_STREAM)
         self._exchange.send(KEEP_ALIVE)
@@ -150,7 +161,7 @@
         if not self._exchange.started:
             self._exchange.start_stream(EVENT_STREAM)
         if self._template is None:
-            event = self._event(_MARK, None, offset=0, next=0)
+            event = self._event(_PLACEHOLDER, None, offset=0, next=0)
             self._template = EventTemplate(event)
         self._exchange.send(self._template.render(offset, tokens))
 
@@ -162,48 +173,48 @@
         self._on_end()
 
     def on_refused(self, refusal):
-        """Reply with the refusal, or end the stream with it as an event."""
+        """Send an error response, or end a started stream with an error event."""
         if not self._exchange.started:
             super().on_refused(refusal)
             return
-        self._exchange.send(write_event(refusal_document(refusal)))
+        self._exchange.send(write_event(make_error_document(refusal)))
         self._exchange.finish()
         self._on_end()
 
-    def _event(self, text, finish_reason, **more):
+    def _event(self, token_text, finish_reason, **extra_fields):
         choice = {'index': 0, 'finish_reason': finish_reason}
         if self._request.is_chat:
-            choice['delta'] = {'content': text} if text else {}
+            choice['delta'] = {'content': token_text} if token_text else {}
         else:
-            choice['text'] = text
+            choice['text'] = token_text
             choice['logprobs'] = None
-        document = self._document(choice, **more)
+        document = self._document(choice, **extra_fields)
         if self._request.is_chat:
             document['object'] = 'chat.completion.chunk'
         return write_event(document)
 
 
-def make_answer(exchange, request, on_end):
-    """Return the sink of a request's answer.
+def make_response(exchange, request, on_end):
+    """Return the RequestSink that writes the response to a request.
 
     Args:
       exchange: An Exchange.
       request: A CompletionRequest.
-      on_end: A function without arguments, called at the end.
+      on_end: A function without arguments, called when the response ends.
     """
-    factory = StreamedAnswer if request.stream else WholeAnswer
+    factory = StreamedResponse if request.stream else BufferedResponse
     return factory(exchange, request, on_end)
 
 
-def reply_refusal(exchange, refusal):
-    """Reply with a refusal as a typed body.
+def send_refusal(exchange, refusal):
+    """Send a refusal as an error response.
 
     Args:
       exchange: An Exchange.
       refusal: A Refusal.
     """
-    status = _STATUS_OF[refusal.outcome]
-    if refusal.code in _LIMIT_CODES:
+    status = _STATUS_BY_OUTCOME[refusal.outcome]
+    if refusal.code in _RATE_LIMIT_CODES:
         status = HTTPStatus.TOO_MANY_REQUESTS
     elif refusal.code == _DEADLINE_CODE:
         status = HTTPStatus.GATEWAY_TIMEOUT
@@ -211,11 +222,11 @@
     if refusal.retry_after_ms is not None:
         seconds = max(1, round(refusal.retry_after_ms / _MS_PER_SECOND))
         headers.append(('Retry-After', str(seconds)))
-    exchange.reply(status, refusal_document(refusal), headers=headers)
+    exchange.reply(status, make_error_document(refusal), headers=headers)
 
 
-def refusal_document(refusal):
-    """Return the typed body of a refusal, a map.
+def make_error_document(refusal):
+    """Return the JSON body of an error response, a dict.
 
     Args:
       refusal: A Refusal.
--- a/crankchute/entry/caller_api.py
+++ b/crankchute/entry/caller_api.py
@@ -6,7 +6,7 @@
 from crankchute.adapters.routes import Routes, read_query
 from crankchute.core.addresses import choose_addresses
 from crankchute.core.service_flow import ServiceAnswer
-from crankchute.entry.answers import make_answer, reply_refusal
+from crankchute.entry.answers import make_response, send_refusal
 from crankchute.entry.completion_request import (
     bad_request,
     read_caller,
@@ -60,7 +60,7 @@
             node.now_ms(),
             f'req-{secrets.token_hex(8)}',
         )
-        answer = make_answer(exchange, request, lambda: self._drop(request))
+        answer = make_response(exchange, request, lambda: self._drop(request))
         self._answers[request.job.request_id] = answer
         node.reconciler.record_demand(request.job)
         flow = node.dispatcher.submit(request.job, answer)
@@ -188,4 +188,4 @@
     if isinstance(end, ServiceAnswer):
         exchange.reply(end.status, end.body, end.content_type)
     else:
-        reply_refusal(exchange, end)
+        send_refusal(exchange, end)
