--- a/crankchute/entry/caller_api.py
+++ b/crankchute/entry/caller_api.py
@@ -12,7 +12,7 @@
     read_caller,
     read_completion,
 )
-from crankchute.entry.service_desk import LONGEST_KEY_MS, SERVICES_PATH
+from crankchute.entry.service_desk import MAX_KEY_LIFETIME_MS, SERVICES_PATH
 from crankchute.errors import RequestRefused
 
 _METRICS_TYPE = 'text/plain; version=0.0.4; charset=utf-8'
@@ -76,8 +76,8 @@
         """Route a call to a plain service."""
         self._check_serving()
         caller = read_caller(self._node.config.config, exchange)
-        call = self._node.service_desk.read_call(exchange, caller)
-        self._node.service_desk.submit(
+        call = self._node.service_dispatcher.read_call(exchange, caller)
+        self._node.service_dispatcher.submit(
             call,
             lambda end: _reply_end(exchange, end),
         )
@@ -168,7 +168,7 @@
             'instance': node.binding.instance,
             'boot': node.binding.boot,
             'now_ms': int(node.now_ms()),
-            'longest_ms': LONGEST_KEY_MS,
+            'longest_ms': MAX_KEY_LIFETIME_MS,
             'address': node.settings.http_address_text,
         }
 
--- a/crankchute/entry/node.py
+++ b/crankchute/entry/node.py
@@ -29,7 +29,7 @@
 from crankchute.entry.owning import EngineReconciler
 from crankchute.entry.peering import Peering
 from crankchute.entry.reading import PlatformReader
-from crankchute.entry.service_desk import ServiceDesk
+from crankchute.entry.service_desk import ServiceDispatcher
 
 JOINING = 'joining'
 SERVING = 'serving'
@@ -111,7 +111,7 @@
 
     def on_forward(self, request, on_reply):
         """See PeerServicer."""
-        self.service_desk.on_forward(request, on_reply)
+        self.service_dispatcher.on_forward(request, on_reply)
 
     def on_borrow(self, request, on_reply):
         """See PeerServicer."""
@@ -158,7 +158,7 @@
         )
 
     def _wire_shared_work(self):
-        self.service_desk = ServiceDesk(
+        self.service_dispatcher = ServiceDispatcher(
             self,
             self.service_router,
             self.peering,
@@ -264,7 +264,7 @@
         )
 
     def _check_drained(self):
-        busy = self.dispatcher.in_progress + self.service_desk.in_progress
+        busy = self.dispatcher.in_progress + self.service_dispatcher.in_progress
         if busy or self.http_server.open_exchanges:
             return
         waited_ms = self.now_ms() - self._closed_ms
--- a/crankchute/entry/service_desk.py
+++ b/crankchute/entry/service_desk.py
@@ -1,4 +1,4 @@
-"""Calls of plain services: keys, the once-only ledger, and forwarding."""
+"""Handling of service calls: request keys, deduplication, forwarding."""
 
 from crankchute.core.keys import Claim, KeyLedger, parse_key
 from crankchute.core.outcomes import Outcome, Refusal
@@ -8,55 +8,55 @@
 from crankchute.proto import peer_pb2
 
 KEY_HEADER = 'Crankchute-Key'
-LONGEST_KEY_MS = 120_000
+MAX_KEY_LIFETIME_MS = 120_000
 SERVICES_PATH = '/v1/services/'
 _REPEATABLE_METHODS = frozenset(('GET', 'HEAD', 'OPTIONS'))
-_SWEEP_MS = 1000
+_EXPIRY_INTERVAL_MS = 1000
 _FORWARD_MARGIN_MS = 100
 _REFUSAL_BYTES = 256
-#: Calls of peers that wait here hold threads which gossip needs too.
-_MOST_FORWARDED = 8
+#: Each forwarded call occupies one of the gRPC threads that gossip also needs.
+_MAX_FORWARDED_CALLS = 8
 
 
-class ServiceDesk:
-    """Takes service calls from callers and from other instances."""
+class ServiceDispatcher:
+    """Handles service calls from callers and from other instances."""
 
-    def __init__(self, parts, router, peering, binding):
-        """Create the desk.
+    def __init__(self, context, router, peering, binding):
+        """Create the dispatcher and start to expire keys.
 
         Args:
-          parts: An object with `timers` and `config`.
+          context: An object with the attributes `timers` and `config`.
           router: The ServiceRouter.
           peering: The Peering.
-          binding: The Binding of this incarnation.
+          binding: The Binding of this process.
         """
-        self._timers = parts.timers
-        self._config = parts.config
+        self._timers = context.timers
+        self._config = context.config
         self._router = router
         self._peering = peering
-        self._ledger = KeyLedger(binding, LONGEST_KEY_MS)
+        self._ledger = KeyLedger(binding, MAX_KEY_LIFETIME_MS)
         self._forwarded = 0
-        self._acts = {
+        self._actions = {
             Claim.FIRST: self._run_once,
-            Claim.RUNNING: self._join_running,
-            Claim.ENDED: self._repeat_end,
-            Claim.EXPIRED: _answer_expired,
+            Claim.RUNNING: self._wait_for_running,
+            Claim.ENDED: self._replay_response,
+            Claim.EXPIRED: _refuse_expired,
             Claim.FOREIGN: self._forward,
         }
-        self._timers.every(_SWEEP_MS, self._forget)
+        self._timers.every(_EXPIRY_INTERVAL_MS, self._forget_expired_keys)
 
     @property
     def key_count(self):
-        """How many keys are remembered."""
+        """The number of request keys in the ledger."""
         return len(self._ledger)
 
     @property
     def in_progress(self):
-        """How many calls have not ended."""
+        """The number of calls in progress."""
         return self._router.in_progress
 
     def read_call(self, exchange, caller):
-        """Read and check a call of a plain service.
+        """Parse and validate a service call.
 
         Args:
           exchange: An Exchange.
@@ -64,10 +64,10 @@
         Returns:
           A ServiceCall.
         Raises:
-          RequestRefused: If anything in it is wrong.
+          RequestRefused: If the call is invalid.
         """
-        rest = exchange.path.removeprefix(SERVICES_PATH)
-        pool, _, path = rest.partition('/')
+        target = exchange.path.removeprefix(SERVICES_PATH)
+        pool, _, path = target.partition('/')
         find_service_pool(self._config.config, caller, pool)
         repeatable = exchange.method in _REPEATABLE_METHODS
         key = exchange.header(KEY_HEADER)
@@ -87,22 +87,22 @@
         )
 
     def submit(self, call, on_end):
-        """Run a call here, pass it on, or answer what is known of it.
+        """Run a call, forward it, or return its recorded response.
 
         Args:
           call: A ServiceCall.
-          on_end: A function of a ServiceAnswer or a Refusal, called once.
+          on_end: A function of a ServiceAnswer or Refusal, called once.
         """
         if call.repeatable:
             self._router.submit(call, on_end)
             return
         key = parse_key(call.key)
         claim = self._ledger.claim(call.account, key, self._now_ms())
-        act = self._acts[claim]
-        act(call, key, on_end)
+        action = self._actions[claim]
+        action(call, key, on_end)
 
     def on_forward(self, request, on_reply):
-        """Take a call that a peer passed on, if it is bound here."""
+        """Handle a call that a peer forwarded, if its key is bound here."""
         key = parse_key(request.key)
         pool, _, path = request.path.partition('/')
         call = ServiceCall(
@@ -116,38 +116,43 @@
             account=request.account,
             deadline_ms=self._now_ms() + request.remaining_ms,
         )
-        if not self._is_mine(key) or self._forwarded >= _MOST_FORWARDED:
-            on_reply(write_end(_unreachable(passed_on=False)))
+        if (
+            not self._is_bound_here(key)
+            or self._forwarded >= _MAX_FORWARDED_CALLS
+        ):
+            on_reply(write_response(_make_unreachable_refusal(passed_on=False)))
             return
         self._forwarded += 1
 
-        def finish(end):
+        def on_response(response):
             self._forwarded -= 1
-            on_reply(write_end(end))
+            on_reply(write_response(response))
 
-        self.submit(call, finish)
+        self.submit(call, on_response)
 
     def _run_once(self, call, key, on_end):
-        def finish(end):
+        def on_response(response):
             size = _REFUSAL_BYTES
-            if isinstance(end, ServiceAnswer):
-                size = len(end.body)
-            self._ledger.end(call.account, key, end, size)
-            on_end(end)
+            if isinstance(response, ServiceAnswer):
+                size = len(response.body)
+            self._ledger.end(call.account, key, response, size)
+            on_end(response)
 
-        self._router.submit(call, finish)
+        self._router.submit(call, on_response)
 
-    def _join_running(self, call, key, on_end):
+    def _wait_for_running(self, call, key, on_end):
         self._ledger.wait(call.account, key, on_end)
 
-    def _repeat_end(self, call, key, on_end):
-        on_end(self._ledger.answer(call.account, key) or _forgotten())
+    def _replay_response(self, call, key, on_end):
+        on_end(
+            self._ledger.answer(call.account, key) or _make_unrecorded_refusal()
+        )
 
     def _forward(self, call, key, on_end):
         member = self._peering.membership.get(key.binding.instance)
         is_known = member is not None and member.boot == key.binding.boot
-        if not is_known or self._is_mine(key):
-            on_end(_unreachable(passed_on=False))
+        if not is_known or self._is_bound_here(key):
+            on_end(_make_unreachable_refusal(passed_on=False))
             return
         remaining_ms = call.deadline_ms - self._now_ms()
         request = peer_pb2.ForwardRequest(
@@ -160,54 +165,54 @@
             remaining_ms=int(remaining_ms - _FORWARD_MARGIN_MS),
         )
 
-        def take(reply):
+        def on_response(reply):
             if reply is None:
-                on_end(_unreachable(passed_on=True))
+                on_end(_make_unreachable_refusal(passed_on=True))
             else:
-                on_end(read_end(reply))
+                on_end(read_response(reply))
 
         self._peering.call(
             member.peer_address,
             'Forward',
             request,
-            take,
+            on_response,
             remaining_ms,
         )
 
-    def _is_mine(self, key):
+    def _is_bound_here(self, key):
         own = self._peering.membership.own
         binding = key.binding
         return (binding.instance, binding.boot) == (own.identity, own.boot)
 
-    def _forget(self):
+    def _forget_expired_keys(self):
         self._ledger.forget_expired(self._now_ms())
 
     def _now_ms(self):
         return self._timers.clock.now_ms()
 
 
-def write_end(end):
-    """Return the message of a ServiceAnswer or a Refusal."""
-    if isinstance(end, ServiceAnswer):
+def write_response(response):
+    """Serialize a ServiceAnswer or Refusal as a ForwardReply."""
+    if isinstance(response, ServiceAnswer):
         return peer_pb2.ForwardReply(
-            status=end.status,
-            content_type=end.content_type,
-            body=end.body,
+            status=response.status,
+            content_type=response.content_type,
+            body=response.body,
         )
     return peer_pb2.ForwardReply(
-        outcome=end.outcome.value,
-        code=end.code,
-        text=end.text,
-        retry_after_ms=int(end.retry_after_ms or 0),
-        passed_on=end.passed_on,
+        outcome=response.outcome.value,
+        code=response.code,
+        text=response.text,
+        retry_after_ms=int(response.retry_after_ms or 0),
+        passed_on=response.passed_on,
     )
 
 
-def read_end(reply):
-    """Return the ServiceAnswer or the Refusal of a message.
+def read_response(reply):
+    """Parse a ForwardReply into a ServiceAnswer or Refusal.
 
-    A refusal that came through another instance may say that this submission
-    was passed on; what it says of running is the bound instance's own word.
+    The outcome and `passed_on` of a refusal are those reported by the instance
+    to which the key is bound.
     """
     if not reply.outcome:
         return ServiceAnswer(reply.status, reply.content_type, reply.body)
@@ -232,7 +237,7 @@
         raise bad_request('bad_key', str(exc)) from exc
 
 
-def _answer_expired(_call, _key, on_end):
+def _refuse_expired(_call, _key, on_end):
     refusal = Refusal(
         Outcome.UNKNOWN,
         'key_expired',
@@ -242,7 +247,7 @@
     on_end(refusal)
 
 
-def _unreachable(*, passed_on):
+def _make_unreachable_refusal(*, passed_on):
     return Refusal(
         Outcome.UNKNOWN,
         'binding_lost',
@@ -251,7 +256,7 @@
     )
 
 
-def _forgotten():
+def _make_unrecorded_refusal():
     return Refusal(
         Outcome.UNKNOWN,
         'answer_not_kept',
--- a/crankchute/entry/state_dump.py
+++ b/crankchute/entry/state_dump.py
@@ -28,8 +28,8 @@
         'requests': {
             'in_progress': node.dispatcher.in_progress,
             'waiting': node.dispatcher.waiting,
-            'service_calls': node.service_desk.in_progress,
-            'remembered_keys': node.service_desk.key_count,
+            'service_calls': node.service_dispatcher.in_progress,
+            'remembered_keys': node.service_dispatcher.key_count,
         },
         'accounts': len(node.limits),
         'counters': _dump_counters(node.metrics.counts),
