--- a/crankchute/entry/state_dump.py
+++ b/crankchute/entry/state_dump.py
@@ -1,13 +1,13 @@
-"""The state of an entry instance, written out for people."""
+"""The state dump of an entry instance."""
 
 
 def dump_node(node):
-    """Return the state of an entry instance.
+    """Return the state of an entry instance for operators.
 
     Args:
       node: An EntryNode.
     Returns:
-      A map of JSON values.
+      A dict of JSON values.
     """
     now_ms = node.now_ms()
     return {
@@ -18,11 +18,12 @@
         'uptime_ms': round(now_ms),
         'config': _dump_config(node),
         'platform': _dump_platform(node, now_ms),
-        'instance_findings': [str(one) for one in node.inventory.findings],
+        'instance_findings': [str(entry) for entry in node.inventory.findings],
         'members': [
-            _dump_member(one) for one in node.peering.membership.all_members()
+            _dump_member(entry)
+            for entry in node.peering.membership.all_members()
         ],
-        'backends': [_dump_backend(one, now_ms) for one in node.fleet],
+        'backends': [_dump_backend(entry, now_ms) for entry in node.fleet],
         'owned_engines': node.reconciler.owned,
         'load_polls': node.poller.polls,
         'requests': {
@@ -49,8 +50,12 @@
 def _dump_platform(node, now_ms):
     watches = {}
     for name, watch in zip(('config', 'instances'), node.watches):
-        since_ms = watch.failing_since_ms
-        failing_ms = None if since_ms is None else round(now_ms - since_ms)
+        failing_since_ms = watch.failing_since_ms
+        failing_ms = (
+            None
+            if failing_since_ms is None
+            else round(now_ms - failing_since_ms)
+        )
         watches[name] = {
             'watching': watch.is_on,
             'reads': watch.reads,
@@ -87,8 +92,8 @@
 
 
 def _dump_counters(counts):
-    named = {}
+    named_counts = {}
     for key, count in counts.items():
         name = key if isinstance(key, str) else ':'.join(key)
-        named[name] = count
-    return named
+        named_counts[name] = count
+    return named_counts
