--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -64,7 +64,7 @@
         'engines are not told that the caller is gone',
         'memory returns',
         'crankchute/entry/caller_api.py',
-        'exchange.on_gone = lambda: self._give_up(request, flow)',
+        'exchange.on_gone = lambda: self._cancel_request(request, flow)',
         'exchange.on_gone = None',
     ),
     Mutation(
--- a/crankchute/entry/caller_api.py
+++ b/crankchute/entry/caller_api.py
@@ -1,4 +1,4 @@
-"""The HTTP interface of an entry instance: callers, operators, metrics."""
+"""The HTTP API of an entry instance: completions, services and operations."""
 
 import secrets
 from http import HTTPStatus
@@ -16,31 +16,31 @@
 from crankchute.errors import RequestRefused
 
 _METRICS_TYPE = 'text/plain; version=0.0.4; charset=utf-8'
-_NOT_READY_MS = 500
-_KEEP_ALIVE_MS = 2000
+_NOT_READY_RETRY_MS = 500
+_KEEP_ALIVE_INTERVAL_MS = 2000
 routes = Routes()
 
 
 class CallerApi:
-    """Answers every HTTP request of an entry instance."""
+    """Handles the HTTP requests to an entry instance."""
 
     def __init__(self, node):
-        """Create the interface.
+        """Create the API and start the keep-alive timer.
 
         Args:
           node: The EntryNode.
         """
         self._node = node
-        self._answers = {}
-        node.timers.every(_KEEP_ALIVE_MS, self._keep_alive)
+        self._responses = {}
+        node.timers.every(_KEEP_ALIVE_INTERVAL_MS, self._send_keep_alives)
 
-    def answer(self, exchange):
-        """Answer one request.
+    def handle_request(self, exchange):
+        """Handle a request.
 
         Args:
           exchange: An Exchange.
         Raises:
-          RequestRefused: If it is refused before anything is done.
+          RequestRefused: If the request is rejected before any processing.
         """
         try:
             routes.dispatch(self, exchange)
@@ -51,8 +51,8 @@
     @routes.add('POST', '/v1/completions')
     @routes.add('POST', '/v1/chat/completions')
     def complete(self, exchange):
-        """Answer a prompt."""
-        self._check_serving()
+        """Handle a completion or chat completion."""
+        self._require_serving()
         node = self._node
         request = read_completion(
             node.config.config,
@@ -60,12 +60,14 @@
             node.now_ms(),
             f'req-{secrets.token_hex(8)}',
         )
-        answer = make_response(exchange, request, lambda: self._drop(request))
-        self._answers[request.job.request_id] = answer
+        response = make_response(
+            exchange, request, lambda: self._forget_response(request)
+        )
+        self._responses[request.job.request_id] = response
         node.reconciler.record_demand(request.job)
-        flow = node.dispatcher.submit(request.job, answer)
+        flow = node.dispatcher.submit(request.job, response)
         if flow is not None and not flow.ended:
-            exchange.on_gone = lambda: self._give_up(request, flow)
+            exchange.on_gone = lambda: self._cancel_request(request, flow)
 
     @routes.add('GET', SERVICES_PATH)
     @routes.add('POST', SERVICES_PATH)
@@ -73,19 +75,19 @@
     @routes.add('PATCH', SERVICES_PATH)
     @routes.add('DELETE', SERVICES_PATH)
     def call_service(self, exchange):
-        """Route a call to a plain service."""
-        self._check_serving()
+        """Forward a call to a service."""
+        self._require_serving()
         caller = read_caller(self._node.config.config, exchange)
         call = self._node.service_dispatcher.read_call(exchange, caller)
         self._node.service_dispatcher.submit(
             call,
-            lambda end: _reply_end(exchange, end),
+            lambda response: _send_service_response(exchange, response),
         )
 
     @routes.add('GET', '/v1/models')
     def list_models(self, exchange):
-        """List the models, as ordinary clients ask for them."""
-        self._check_serving()
+        """List the models in the format of the OpenAI API."""
+        self._require_serving()
         models = [
             {'id': name, 'object': 'model', 'owned_by': 'crankchute'}
             for name in self._node.config.config.models
@@ -94,8 +96,8 @@
 
     @routes.add('GET', '/v1/addresses')
     def list_addresses(self, exchange):
-        """Answer which entry instances an account should use."""
-        self._check_serving()
+        """Return the entry instances that an account should use."""
+        self._require_serving()
         node = self._node
         name = read_query(exchange).get('account')
         if name is None:
@@ -115,14 +117,14 @@
         )
         document = {
             'ttl_ms': node.settings.address_ttl_ms,
-            'addresses': [_describe(member) for member in members],
+            'addresses': [_describe_member(member) for member in members],
             'binding': self._describe_binding(),
         }
         exchange.reply(HTTPStatus.OK, document)
 
     @routes.add('GET', '/healthz')
-    def health(self, exchange):
-        """Tell whether this instance takes callers."""
+    def report_health(self, exchange):
+        """Report whether this instance accepts callers."""
         if self._node.is_accepting:
             exchange.reply(HTTPStatus.OK, {'status': 'ok'})
         else:
@@ -132,34 +134,34 @@
             )
 
     @routes.add('GET', '/metrics')
-    def metrics(self, exchange):
-        """Answer all metrics."""
+    def report_metrics(self, exchange):
+        """Return all metrics in the Prometheus text format."""
         text = self._node.metrics.render()
         exchange.reply(HTTPStatus.OK, text, _METRICS_TYPE)
 
     @routes.add('GET', '/v1/state')
-    def dump(self, exchange):
-        """Answer the state of this process."""
+    def dump_state(self, exchange):
+        """Return the state of this process."""
         exchange.reply(HTTPStatus.OK, self._node.dump())
 
-    def _drop(self, request):
-        self._answers.pop(request.job.request_id, None)
+    def _forget_response(self, request):
+        self._responses.pop(request.job.request_id, None)
 
-    def _give_up(self, request, flow):
-        self._drop(request)
+    def _cancel_request(self, request, flow):
+        self._forget_response(request)
         self._node.dispatcher.cancel(flow)
 
-    def _keep_alive(self):
-        for answer in tuple(self._answers.values()):
-            answer.keep_alive()
+    def _send_keep_alives(self):
+        for response in tuple(self._responses.values()):
+            response.keep_alive()
 
-    def _check_serving(self):
+    def _require_serving(self):
         if not self._node.is_serving:
             raise RequestRefused(
                 HTTPStatus.SERVICE_UNAVAILABLE,
                 self._node.phase,
                 f'this instance is {self._node.phase}',
-                _NOT_READY_MS,
+                _NOT_READY_RETRY_MS,
             )
 
     def _describe_binding(self):
@@ -173,7 +175,7 @@
         }
 
 
-def _describe(member):
+def _describe_member(member):
     return {
         'instance': member.identity,
         'boot': member.boot,
@@ -182,10 +184,10 @@
     }
 
 
-def _reply_end(exchange, end):
+def _send_service_response(exchange, response):
     if not exchange.is_open:
         return
-    if isinstance(end, ServiceAnswer):
-        exchange.reply(end.status, end.body, end.content_type)
+    if isinstance(response, ServiceAnswer):
+        exchange.reply(response.status, response.body, response.content_type)
     else:
-        send_refusal(exchange, end)
+        send_refusal(exchange, response)
--- a/crankchute/entry/node.py
+++ b/crankchute/entry/node.py
@@ -125,7 +125,7 @@
         self.caller_api = CallerApi(self)
         self.http_server = HttpServer(
             settings.http_address,
-            self.caller_api.answer,
+            self.caller_api.handle_request,
             loop.timers,
         ).register(loop)
 
