--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -106,8 +106,8 @@
         'a stop does not wait for what is in progress',
         'planned stop',
         'crankchute/entry/node.py',
-        'if busy or self.http_server.open_exchanges:',
-        'if busy < 0:',
+        'if active_calls or self.http_server.open_exchanges:',
+        'if active_calls < 0:',
     ),
     Mutation(
         'a starting instance does not take what peers have',
--- a/crankchute/entry/node.py
+++ b/crankchute/entry/node.py
@@ -1,4 +1,4 @@
-"""An entry instance without its process: all parts, wired on one loop."""
+"""An entry instance, assembled on one event loop."""
 
 import random
 import secrets
@@ -35,8 +35,8 @@
 SERVING = 'serving'
 DRAINING = 'draining'
 CLOSED = 'closed'
-_DRAIN_CHECK_MS = 50
-_FLUSH_MS = 60_000
+_DRAIN_CHECK_INTERVAL_MS = 50
+_FLUSH_TIMEOUT_MS = 60_000
 _MS_PER_SECOND = 1000
 
 
@@ -44,13 +44,14 @@
     """One entry instance.
 
     Attributes:
-      phase: "joining", "serving", "draining" (out of address answers, still
-        serving callers that hold old ones), or "closed" (finishing what is in
-        progress).
+      phase: "joining", "serving", "draining" (no longer in address responses,
+        but still serving callers that have cached one), or "closed"
+        (completing requests in progress only).
+      on_stopped: Called when the shutdown is complete.
     """
 
     def __init__(self, loop, settings):
-        """Wire the parts and begin to join.
+        """Assemble the components and start to join.
 
         Args:
           loop: The Loop.
@@ -69,19 +70,19 @@
         self.limits = AccountLimits(loop.clock)
         self.phase = JOINING
         self.on_stopped = None
-        self._wire_network(loop)
-        self._wire_core()
-        self._wire_shared_work()
-        self._subscribe()
+        self._create_network(loop)
+        self._create_core()
+        self._create_coordination()
+        self._register_callbacks()
 
     @property
     def is_serving(self):
-        """Whether requests are taken, also from callers with old answers."""
+        """Whether requests are accepted, also from callers with old addresses."""
         return self.phase in {SERVING, DRAINING}
 
     @property
     def is_accepting(self):
-        """Whether this instance is handed out to callers."""
+        """Whether callers may be directed to this instance."""
         return self.phase == SERVING
 
     def now_ms(self):
@@ -89,14 +90,14 @@
         return self.timers.clock.now_ms()
 
     def dump(self):
-        """Return the state of this instance, a map for people."""
+        """Return the state of this instance for operators, a dict."""
         return dump_node(self)
 
     def stop(self):
-        """Stop as planned: nothing in progress is cut off."""
+        """Shut down gracefully: requests in progress are completed."""
         if self.phase in {DRAINING, CLOSED}:
             return
-        self._enter(DRAINING)
+        self._enter_phase(DRAINING)
         self.peering.membership.announce(draining=True)
         self.peering.notify()
         self.timers.after(self.settings.address_ttl_ms, self._close)
@@ -117,7 +118,7 @@
         """See PeerServicer."""
         self.limit_lending.on_borrow(request, on_reply)
 
-    def _wire_network(self, loop):
+    def _create_network(self, loop):
         settings = self.settings
         self.http_client = HttpClient().register(loop)
         self.peer_client = PeerClient(loop)
@@ -129,7 +130,7 @@
             loop.timers,
         ).register(loop)
 
-    def _wire_core(self):
+    def _create_core(self):
         settings = self.settings
         ports = Ports(
             engines=HttpEngines(self.http_client),
@@ -152,19 +153,21 @@
         )
         self.peering = Peering(
             self,
-            self._describe_self(),
+            self._make_own_member(),
             {'config': self.config, 'instances': self.inventory},
             ports.crashes,
         )
 
-    def _wire_shared_work(self):
+    def _create_coordination(self):
         self.service_dispatcher = ServiceDispatcher(
             self,
             self.service_router,
             self.peering,
             self.binding,
         )
-        self.reconciler = EngineReconciler(self, self.peering, self.config, self.fleet)
+        self.reconciler = EngineReconciler(
+            self, self.peering, self.config, self.fleet
+        )
         self.limit_lending = LimitLending(
             self,
             self.peering,
@@ -178,8 +181,8 @@
             self.peering.membership.own,
         )
         self.watches = [
-            self._make_watch('config'),
-            self._make_watch('instances'),
+            self._create_watch('config'),
+            self._create_watch('instances'),
         ]
         self.reader = PlatformReader(
             self,
@@ -196,11 +199,11 @@
         )
         self.peering.start()
 
-    def _make_watch(self, store):
+    def _create_watch(self, store):
         address = self.settings.platform
         return PlatformWatch(self.http_client, self.timers, address, store)
 
-    def _describe_self(self):
+    def _make_own_member(self):
         settings = self.settings
         return Member(
             settings.instance,
@@ -212,7 +215,7 @@
             draining=True,
         )
 
-    def _subscribe(self):
+    def _register_callbacks(self):
         self.config.subscribe(self._on_config)
         self.inventory.subscribe(self._on_inventory)
         self.poller.on_report = self.dispatcher.pump
@@ -235,7 +238,7 @@
     def _on_joined(self):
         self.reader.finish_join()
         if self.phase == JOINING:
-            self._enter(SERVING)
+            self._enter_phase(SERVING)
             self.peering.membership.announce(draining=False)
             self.peering.notify()
 
@@ -257,26 +260,31 @@
         self.dispatcher.pump()
 
     def _close(self):
-        self._enter(CLOSED)
+        self._enter_phase(CLOSED)
         self._closed_ms = self.now_ms()
-        self._drain_loop = self.timers.every(
-            _DRAIN_CHECK_MS, self._check_drained
+        self._drain_timer = self.timers.every(
+            _DRAIN_CHECK_INTERVAL_MS, self._check_drained
         )
 
     def _check_drained(self):
-        busy = self.dispatcher.in_progress + self.service_dispatcher.in_progress
-        if busy or self.http_server.open_exchanges:
+        active_calls = (
+            self.dispatcher.in_progress + self.service_dispatcher.in_progress
+        )
+        if active_calls or self.http_server.open_exchanges:
             return
-        waited_ms = self.now_ms() - self._closed_ms
-        if self.http_server.server.has_unsent and waited_ms < _FLUSH_MS:
+        elapsed_ms = self.now_ms() - self._closed_ms
+        if (
+            self.http_server.server.has_unsent
+            and elapsed_ms < _FLUSH_TIMEOUT_MS
+        ):
             return
-        self._drain_loop.cancel()
+        self._drain_timer.cancel()
         log_change('stopped')
         self.peer_server.stop()
         self.peer_client.close()
         if self.on_stopped is not None:
             self.on_stopped()
 
-    def _enter(self, phase):
+    def _enter_phase(self, phase):
         self.phase = phase
         log_change('phase', phase=phase)
