--- a/crankchute/entry/forward_node.py
+++ b/crankchute/entry/forward_node.py
@@ -26,7 +26,7 @@
 from crankchute.core.return_hints import ReturnHints
 from crankchute.core.server_list import ServerList
 from crankchute.entry.forward_peers import ForwardPeers
-from crankchute.entry.limited_servers import LimitedServers
+from crankchute.entry.limited_servers import LimitProber
 
 JOINING = 'joining'
 SERVING = 'serving'
@@ -184,11 +184,11 @@
         self.fleet.subscribe_restarted(self._on_restarted)
         self.peers = ForwardPeers(loop, self, wiring)
         self.desk.lending = self.peers.lending
-        questions = LimitedServers(self, wiring.reports)
+        limit_prober = LimitProber(self, wiring.reports)
         self.peers.limits.start(
             self.peers.list_active,
             self.peers.is_lost,
-            questions.ask,
+            limit_prober.probe,
         )
         self.holder.subscribe(self._on_config)
         self._add_gauges()
@@ -301,7 +301,7 @@
         self._survey.run(lambda: self._list_siblings(work.engine))
 
     def _list_siblings(self, engine):
-        """Return the servers of an engine's pool that take questions."""
+        """Return the servers of an engine's pool that take limit_prober."""
         backend = self.fleet.get(engine)
         if backend is None:
             return []
--- a/crankchute/entry/limited_servers.py
+++ b/crankchute/entry/limited_servers.py
@@ -1,13 +1,13 @@
-"""Asks servers for an answer, to hear whether they still name a limit."""
+"""Probes rate-limited servers to learn whether their limit still applies."""
 
 from crankchute.core.forward_fleet import wants_requests
 
 
-class LimitedServers:
-    """The servers of one instance, asked in the way of their pools."""
+class LimitProber:
+    """Sends each probe in the way that the pool of the server requires."""
 
     def __init__(self, node, reports):
-        """Create the part.
+        """Create the prober.
 
         Args:
           node: The ForwardNode.
@@ -16,11 +16,11 @@
         self._node = node
         self._reports = reports
 
-    def ask(self, server):
-        """Ask a server, unless it wants nothing at all.
+    def probe(self, server):
+        """Probe a server, unless it is leaving or backing off.
 
         Args:
-          server: Its id.
+          server: The id of the server.
         """
         backend = self._node.fleet.get(server)
         pool = self._find_pool(backend)
@@ -32,16 +32,16 @@
         if pool.figures is None:
             self._reports.check(backend, pool.health_path)
         else:
-            # It takes no place there, as the question for its health does.
-            self._reports.ask(backend, _ignore)
+            # Unlike a health check, it does not occupy a slot of the engine.
+            self._reports.ask(backend, _discard_report)
 
     def _find_pool(self, backend):
-        """Return the PoolConfig of a server, or None."""
+        """Return the PoolConfig of a server, or None if unknown."""
         config = self._node.holder.config
         if backend is None or config is None:
             return None
         return config.pools.get(self._node.fleet.pool_of(backend))
 
 
-def _ignore(_load):
-    """Take a report of which only the head counts, which others read."""
+def _discard_report(_load):
+    """Discard the report: the limit is read from the response headers."""
