--- a/crankchute/entry/forward_peers.py
+++ b/crankchute/entry/forward_peers.py
@@ -208,7 +208,7 @@
 
     def on_turn(self, request, on_reply):
         """See PeerServicer."""
-        self.lending.answer(request, on_reply)
+        self.lending.on_request(request, on_reply)
 
     def call(self, instance, method, request, on_reply, timeout_ms):
         """Call another instance; see PeerClient.
--- a/crankchute/entry/turn_lending.py
+++ b/crankchute/entry/turn_lending.py
@@ -1,24 +1,27 @@
-"""An instance's part in the lending of turns at servers with limits."""
+"""Lending of turns at rate-limited servers between instances.
+
+A turn permits one request under the limit of a server.
+"""
 
 from crankchute.core.forward_fleet import wants_requests
 from crankchute.core.turn_lending import TurnBorrower, TurnOffer, lend_turn
 from crankchute.proto import peer_pb2
 
-#: How long an instance may take to answer; a caller waits for it.
-_ANSWER_MS = 150
-#: How many servers one question names, so that it costs the same in any pool.
-_MOST_NAMED = 16
+#: The timeout of a request to one lender; a caller waits meanwhile.
+_REQUEST_TIMEOUT_MS = 150
+#: The most servers named in a request, to bound its cost in large pools.
+_MAX_SERVERS_PER_REQUEST = 16
 
 
 class TurnLending:
-    """Borrows turns of other instances, and lends them to others."""
+    """Borrows turns from other instances, and lends turns to them."""
 
     def __init__(self, node, peers):
-        """Create the part.
+        """Create the lending of one instance.
 
         Args:
           node: The ForwardNode.
-          peers: Its ForwardPeers.
+          peers: The ForwardPeers of the node.
         """
         self._fleet = node.fleet
         self._now_ms = node.now_ms
@@ -33,41 +36,45 @@
         )
 
     def borrow(self, servers, on_done):
-        """Ask other instances for a turn at one of several servers.
+        """Request a turn at one of several servers from other instances.
 
         Args:
-          servers: Their ids, a list.
-          on_done: A function of the id of the server at which one was lent, or
-            None; called later, and only if this returns True.
+          servers: The ids of the servers, a list.
+          on_done: A function of the id of the server with the borrowed turn,
+            or of None; called later, and only if this returns True.
         Returns:
-          Whether anybody is asked, a bool.
+          Whether any instance is asked, a bool.
         """
-        named = self._random.sample(servers, min(len(servers), _MOST_NAMED))
+        sampled = self._random.sample(
+            servers, min(len(servers), _MAX_SERVERS_PER_REQUEST)
+        )
         lenders = [
-            one
-            for one in self._borrower.list_lenders(named)
-            if not self._peers.is_lost(one)
+            instance
+            for instance in self._borrower.list_lenders(sampled)
+            if not self._peers.is_lost(instance)
         ]
         if lenders:
-            self._ask(lenders, named, on_done)
+            self._request_turn(lenders, sampled, on_done)
         return bool(lenders)
 
     def give_back(self, server):
-        """Forget a turn that was lent and not used.
+        """Return a borrowed turn that was not used.
 
         Args:
           server: The server's id.
         """
         self._limits.turns.give_back(server)
 
-    def answer(self, request, on_reply):
-        """Answer an instance that asks for a turn.
+    def on_request(self, request, on_reply):
+        """Handle the request of another instance for a turn.
 
         Args:
           request: A TurnRequest.
           on_reply: A function of the TurnReply.
         """
-        servers = [one for one in request.servers if self._may_lend(one)]
+        servers = [
+            server for server in request.servers if self._may_lend(server)
+        ]
         offer = lend_turn(self._limits.turns, servers)
         on_reply(
             peer_pb2.TurnReply(
@@ -77,27 +84,29 @@
         )
 
     def _may_lend(self, server):
-        """Tell whether a server has a limit, and wants requests at all.
+        """Return whether a server has a limit and accepts requests.
 
-        The asker may not know yet that it leaves.
+        The borrower may not know yet that the server is leaving.
         """
         backend = self._fleet.get(server)
         if backend is None or self._limits.words.limit_of(server) is None:
             return False
         return wants_requests(self._fleet, backend, self._now_ms())
 
-    def _ask(self, lenders, servers, on_done):
-        lender, *others = lenders
+    def _request_turn(self, lenders, servers, on_done):
+        lender, *remaining_lenders = lenders
         request = peer_pb2.TurnRequest(servers=servers)
 
-        def take(reply):
+        def on_response(reply):
             offer = None
             if reply is not None:
                 offer = TurnOffer(reply.server or None, reply.wait_ms)
             server = self._borrower.take(lender, offer)
-            if server is None and others:
-                self._ask(others, servers, on_done)
+            if server is None and remaining_lenders:
+                self._request_turn(remaining_lenders, servers, on_done)
             else:
                 on_done(server)
 
-        self._peers.call(lender, 'Turn', request, take, _ANSWER_MS)
+        self._peers.call(
+            lender, 'Turn', request, on_response, _REQUEST_TIMEOUT_MS
+        )
--- a/crankchute/entry/turn_lending_test.py
+++ b/crankchute/entry/turn_lending_test.py
@@ -1,4 +1,4 @@
-"""Tests of what an instance lends turns at."""
+"""Tests of the servers at which an instance lends turns."""
 
 import pytest
 
@@ -12,10 +12,10 @@
 _WINDOW_MS = 4000
 
 
-class World:
+class Lender:
     """An instance that holds the whole limit of one server.
 
-    It stands for the node and for its peers, of which little is needed.
+    Serves as the node and as its peers.
     """
 
     def __init__(self):
@@ -29,57 +29,57 @@
         self.limits = LimitDesk(self.timers, self.instance, 'boot')
         self.limits.start(
             lambda: [self.instance],
-            lambda _one: False,
-            lambda _one: None,
+            lambda _identity: False,
+            lambda _identity: None,
         )
         self.timers.advance(_WINDOW_MS)
         self.limits.words.take('a', 1, _WINDOW_MS)
 
-    def ask(self, *servers):
-        """Return where a turn is lent, or an empty string."""
+    def request_turn(self, *servers):
+        """Return the server at which a turn is lent, or an empty string."""
         replies = []
         lending = TurnLending(self, self)
         request = peer_pb2.TurnRequest(servers=servers)
-        lending.answer(request, replies.append)
+        lending.on_request(request, replies.append)
         return replies[0].server
 
 
-def lend_nothing(world):
-    """Let a server that nobody knows be asked for."""
-    world.fleet.remove('a', may_lapse=False)
+def remove_server(lender):
+    """Remove the server from the fleet."""
+    lender.fleet.remove('a', may_lapse=False)
 
 
-def leave(world):
-    """Let the server leave, which the asker does not know yet."""
-    world.fleet.note_drained('a')
+def drain_server(lender):
+    """Mark the server as leaving."""
+    lender.fleet.note_drained('a')
 
 
-def rest(world):
-    """Let the server rest here, where the turn is counted."""
-    world.fleet.get('a').leave_alone(60_000)
+def back_off(lender):
+    """Put the server in backoff."""
+    lender.fleet.get('a').leave_alone(60_000)
 
 
-def end_limit(world):
-    """Let the server name no limit any more."""
-    world.limits.words.take('a', None, _WINDOW_MS)
+def remove_limit(lender):
+    """Remove the limit of the server."""
+    lender.limits.words.take('a', None, _WINDOW_MS)
 
 
-def use_up(world):
-    """Use the turn."""
-    world.limits.turns.note_sent('a')
+def use_turn(lender):
+    """Use up the only turn."""
+    lender.limits.turns.note_sent('a')
 
 
 def test_turn_is_lent_once():
-    world = World()
-    assert world.ask('b', 'a') == 'a'
-    assert not world.ask('b', 'a')
+    lender = Lender()
+    assert lender.request_turn('b', 'a') == 'a'
+    assert not lender.request_turn('b', 'a')
 
 
 @pytest.mark.parametrize(
     'change',
-    [lend_nothing, leave, rest, end_limit, use_up],
+    [remove_server, drain_server, back_off, remove_limit, use_turn],
 )
-def test_no_turn_is_lent_at_servers_that_want_nothing(change):
-    world = World()
-    change(world)
-    assert not world.ask('b', 'a')
+def test_no_turn_is_lent_at_an_unusable_server(change):
+    lender = Lender()
+    change(lender)
+    assert not lender.request_turn('b', 'a')
