--- a/crankchute/entry/forward_node.py
+++ b/crankchute/entry/forward_node.py
@@ -213,7 +213,7 @@
         self._limits = limits
         self.desk.change_limits(limits.retries)
         self._reservations.change_limits(limits.unused_ms)
-        self.peers.change_seeds(seeds)
+        self.peers.replace_seeds(seeds)
 
     def stop(self):
         """Stop as planned: nothing in progress is cut off."""
--- a/crankchute/entry/forward_peers.py
+++ b/crankchute/entry/forward_peers.py
@@ -1,4 +1,4 @@
-"""An instance's part in the sharing among instances that forward requests."""
+"""Communication between instances that forward requests."""
 
 import time
 from functools import partial
@@ -15,52 +15,51 @@
 from crankchute.entry.turn_lending import TurnLending
 
 _MS_PER_SECOND = 1000
-#: How often seeds are asked until another instance is known, at first: a
-#: process that starts with all others finds them as they begin to listen.
-_SEED_MS = 100
-#: The same later, when there is probably nobody.
-_LONELY_MS = 500
-_EARLY_MS = 3000
-#: Who does not answer for so many turns of the pace is taken for lost.
-_LOST_PACES = 3
-#: For how long impressions of servers are told as they are, in milliseconds:
-#: gathering them looks at every server, and briefings go out by the hundred a
-#: second.
-_IMPRESSIONS_MS = 50
+#: How often the seeds are probed after the start, while no other instance is
+#: known: instances that start together find each other quickly.
+_SEED_INTERVAL_MS = 100
+#: How often the seeds are probed later, when there is probably no other one.
+_SLOW_SEED_INTERVAL_MS = 500
+_STARTUP_MS = 3000
+#: An instance that is silent for so many sharing intervals counts as lost.
+_LOST_INTERVALS = 3
+#: How long the list of suspicious servers is cached, in milliseconds:
+#: collecting it visits every server, and it is sent with every briefing.
+_IMPRESSIONS_CACHE_MS = 50
 _CONFIG = 'config'
-#: The store of Peering that lists instances elsewhere lists servers here.
+#: The instance list of Peering holds the backend servers here.
 _SERVERS = 'instances'
 
 
-class ConfigExchange:
-    """The configuration, in the form in which peers fetch it.
+class ConfigStore:
+    """Replicates the configuration between instances; see Peering.
 
     Attributes:
-      take: A function of the bytes of a configuration.
+      apply: A function that applies the bytes of a configuration.
     """
 
-    def __init__(self, holder, take):
-        """Create the exchange.
+    def __init__(self, holder, apply):
+        """Create the store.
 
         Args:
           holder: A ForwardConfigHolder.
-          take: A function of the bytes of a configuration.
+          apply: A function that applies the bytes of a configuration.
         """
         self._holder = holder
-        self.take = take
+        self.apply = apply
 
     @property
     def revision(self):
-        """The version in force, 0 before the first."""
+        """The version in force, 0 if there is none."""
         return self._holder.version
 
     @property
     def seen_revision(self):
-        """The version in force; refused ones are not kept."""
+        """The version in force; rejected versions are not kept."""
         return self._holder.version
 
     def changes_for(self, in_force, _seen):
-        """Return the configuration if another instance lacks it, or None."""
+        """Return the configuration if it is newer than a version, or None."""
         version = self._holder.version
         if version <= in_force:
             return None
@@ -68,21 +67,21 @@
         return ChangeSet(0, version, {_CONFIG: entry})
 
     def offer(self, changes):
-        """Take a configuration that a peer handed over.
+        """Apply a configuration received from a peer.
 
         Args:
           changes: A ChangeSet.
         Returns:
-          True if the version rose.
+          True if the version increased.
         """
         before = self._holder.version
         for entry in changes.entries.values():
-            self.take(entry.payload)
+            self.apply(entry.payload)
         return self._holder.version > before
 
 
 class Revisions:
-    """What another instance has of a published store."""
+    """The revisions of a store at another instance."""
 
     __slots__ = ('in_force', 'seen')
 
@@ -90,45 +89,46 @@
         """Create the record.
 
         Args:
-          revision: The revision in force there, which is the newest seen.
+          revision: The revision in force, which is also the newest seen.
         """
         self.in_force = revision
         self.seen = revision
 
 
-class ServersExchange:
-    """The backend servers' entries, in the form in which peers fetch them.
+class ServerStore:
+    """Replicates the list of backend servers between instances; see Peering.
 
-    Few instances read the store; all others get what changed in this way.
+    Few instances watch the platform's store; the others get changes from them.
     """
 
-    def __init__(self, servers, take):
-        """Create the exchange.
+    def __init__(self, servers, apply):
+        """Create the store.
 
         Args:
           servers: A ServerList.
-          take: A function of a ChangeSet that tells whether it was new.
+          apply: A function that applies a ChangeSet and returns whether
+            anything changed.
         """
         self._servers = servers
-        self.offer = take
+        self.offer = apply
 
     @property
     def revision(self):
-        """The revision of the list, 0 before the first."""
+        """The revision of the list, 0 if there is none."""
         return self._servers.revision
 
     @property
     def seen_revision(self):
-        """The same as revision."""
+        """The revision of the list, which is always in force."""
         return self._servers.revision
 
     def changes_for(self, in_force, _seen):
-        """Return what another instance lacks, or None."""
+        """Return the changes after a revision, or None."""
         return self._servers.changes_since(in_force)
 
 
 class ForwardPeers:
-    """Gossip, shared knowledge and fetched configurations.
+    """Gossip, sharing of load data, and replication between instances.
 
     Attributes:
       sharing: The Sharing.
@@ -138,11 +138,11 @@
     """
 
     def __init__(self, loop, node, wiring):
-        """Start to talk to other instances.
+        """Start to communicate with other instances.
 
         Args:
           loop: The Loop.
-          node: The ForwardNode that this is a part of.
+          node: The ForwardNode that owns this object.
           wiring: A ForwardWiring.
         """
         self._node = node
@@ -150,9 +150,9 @@
         self._client = PeerClient(loop)
         identity = node.identity
         self._server = PeerServer(loop, identity.peer_address, self)
-        exchange = ConfigExchange(node.holder, wiring.take_config)
-        servers = ServersExchange(node.servers, wiring.take_servers)
-        # Peering finds the parts that it works with on one object.
+        config_store = ConfigStore(node.holder, wiring.take_config)
+        server_store = ServerStore(node.servers, wiring.take_servers)
+        # Peering reads these attributes.
         self.timers = loop.timers
         self.peer_client = self._client
         self.random = node.random
@@ -161,8 +161,8 @@
             identity.instance,
             identity.boot,
             int(time.time() * _MS_PER_SECOND),
-            peer_address=_write_address(identity.peer_address),
-            http_address=_write_address(identity.caller_address),
+            peer_address=_format_address(identity.peer_address),
+            http_address=_format_address(identity.caller_address),
             data_centre=identity.data_centre,
             draining=True,
             strength=identity.strength,
@@ -170,7 +170,7 @@
         self._peering = Peering(
             self,
             own,
-            {_CONFIG: exchange, _SERVERS: servers},
+            {_CONFIG: config_store, _SERVERS: server_store},
         )
         self.membership = self._peering.membership
         self.limits = LimitDesk(
@@ -183,14 +183,14 @@
         self.limits.words.subscribe(self.sharing.tell_soon)
         self._seeds = []
         self._impressions = []
-        self._impressed_ms = float('-inf')
+        self._impressions_ms = float('-inf')
         self._start_ms = self._now_ms()
-        self._asked_seeds_ms = float('-inf')
-        self.change_seeds(identity.seeds)
+        self._seeds_probed_ms = float('-inf')
+        self.replace_seeds(identity.seeds)
         self._peering.start()
         self.sharing.start()
-        self._ask_seeds()
-        self._timers.every(_SEED_MS, self._ask_seeds)
+        self._probe_seeds()
+        self._timers.every(_SEED_INTERVAL_MS, self._probe_seeds)
 
     def on_probe(self, request, on_reply):
         """See PeerServicer."""
@@ -211,14 +211,14 @@
         self.lending.on_request(request, on_reply)
 
     def call(self, instance, method, request, on_reply, timeout_ms):
-        """Call another instance; see PeerClient.
+        """Call a method of another instance; see PeerClient.
 
         Args:
-          instance: Its id.
-          method: The name of a call in peer.proto.
-          request: The method's message.
+          instance: The instance's id.
+          method: The name of a method in peer.proto.
+          request: The request message.
           on_reply: A function of the reply, or of None on any failure.
-          timeout_ms: Milliseconds to wait.
+          timeout_ms: The timeout in milliseconds.
         """
         member = self.membership.get(instance)
         if member is None:
@@ -227,44 +227,44 @@
         address = member.peer_address
         self._peering.call(address, method, request, on_reply, timeout_ms)
 
-    def change_seeds(self, seeds):
-        """Take other addresses at which instances may be found.
+    def replace_seeds(self, seeds):
+        """Replace the seed addresses.
 
         Args:
           seeds: Pairs of IP and port.
         """
-        self._seeds = [_write_address(one) for one in seeds]
+        self._seeds = [_format_address(address) for address in seeds]
 
     def list_active(self):
-        """Return the ids of the instances that callers are sent to, a list."""
-        return [one.identity for one in self.sharing.active]
+        """Return the ids of the instances that callers are directed to."""
+        return [member.identity for member in self.sharing.active]
 
     def is_lost(self, instance):
-        """Tell whether an instance does not answer, and did not say why.
+        """Return whether an instance is silent without having announced to leave.
 
         Args:
-          instance: Its id.
+          instance: The instance's id.
         """
         member = self.membership.get(instance)
         if member is None:
             return True
         instances = self.sharing.instances
-        silent_ms = instances.pace_ms() * _LOST_PACES
+        silent_ms = instances.pace_ms() * _LOST_INTERVALS
         view = instances.view(instance)
         return not member.draining and view.is_silent(self._now_ms(), silent_ms)
 
     def announce(self, *, is_serving):
-        """Tell the others whether callers may be sent here.
+        """Announce whether this instance accepts callers.
 
         Args:
-          is_serving: A bool.
+          is_serving: Whether it accepts callers, a bool.
         """
         self.membership.announce(draining=not is_serving)
         self._peering.notify()
         self.sharing.tell_now()
 
     def stop(self):
-        """Stop to listen."""
+        """Stop listening and close all connections."""
         self._server.stop()
         self._client.close()
 
@@ -283,14 +283,14 @@
             is_serving=lambda: node.is_accepting,
             proof_age_ms=lambda: node.holder.proof_age_ms(self._now_ms()),
             make_briefing=self._make_briefing,
-            take=self._take,
+            take=self._apply_briefing,
             send=self._send,
         )
 
     def _send(self, member, briefing, on_reply, timeout_ms):
         request = write_briefing(briefing, self._now_ms())
 
-        def take(reply):
+        def on_response(reply):
             if reply is None:
                 on_reply(None)
             else:
@@ -300,11 +300,11 @@
             member.peer_address,
             'Share',
             request,
-            take,
+            on_response,
             timeout_ms,
         )
 
-    def _make_briefing(self, **told):
+    def _make_briefing(self, **sharing_fields):
         node = self._node
         return Briefing(
             instance=node.identity.instance,
@@ -318,80 +318,83 @@
             gone=node.fleet.gone(),
             impressions=self._list_impressions(),
             limits=self.limits.words.tell(),
-            **told,
+            **sharing_fields,
         )
 
-    def _take(self, briefing, asked_ms):
+    def _apply_briefing(self, briefing, requested_ms):
         node = self._node
         self.membership.merge(briefing.active)
-        self._take_servers(briefing)
-        self._take_impressions(briefing)
+        self._apply_server_states(briefing)
+        self._apply_impressions(briefing)
         self.limits.words.hear(briefing.limits)
-        self._fetch(briefing, _CONFIG, briefing.version)
-        self._fetch(briefing, _SERVERS, briefing.servers_revision)
-        if asked_ms is None:
+        self._fetch_if_newer(briefing, _CONFIG, briefing.version)
+        self._fetch_if_newer(briefing, _SERVERS, briefing.servers_revision)
+        if requested_ms is None:
             return
-        # What was asked for at a moment proves no more than that.
+        # An answer proves the state at the time of the request, not later.
         if briefing.proof_age_ms is not None:
-            proved_ms = asked_ms - briefing.proof_age_ms
+            proved_ms = requested_ms - briefing.proof_age_ms
             node.holder.prove(briefing.version, proved_ms)
         if briefing.servers_age_ms is not None:
-            proved_ms = asked_ms - briefing.servers_age_ms
+            proved_ms = requested_ms - briefing.servers_age_ms
             node.servers.prove(briefing.servers_revision, proved_ms)
 
     def _list_impressions(self):
         now_ms = self._now_ms()
-        if now_ms - self._impressed_ms > _IMPRESSIONS_MS:
-            self._impressed_ms = now_ms
+        if now_ms - self._impressions_ms > _IMPRESSIONS_CACHE_MS:
+            self._impressions_ms = now_ms
             self._impressions = list_impressions(self._node, now_ms)
         return self._impressions
 
-    def _take_servers(self, briefing):
+    def _apply_server_states(self, briefing):
         fleet = self._node.fleet
         for identity in briefing.drained:
             fleet.note_drained(identity)
         for identity in briefing.gone:
             fleet.note_gone(identity)
 
-    def _take_impressions(self, briefing):
-        for one in briefing.impressions:
-            backend = self._node.fleet.get(one.server)
+    def _apply_impressions(self, briefing):
+        for impression in briefing.impressions:
+            backend = self._node.fleet.get(impression.server)
             if backend is not None:
-                backend.suspicion.hear(briefing.instance, one.signs)
+                backend.suspicion.hear(briefing.instance, impression.signs)
 
-    def _fetch(self, briefing, store, revision):
-        """Fetch what the teller has of a published store, if it is newer."""
-        teller = self.membership.get(briefing.instance)
-        if teller is not None:
+    def _fetch_if_newer(self, briefing, store, revision):
+        """Fetch a store from the sender of a briefing if it is newer there."""
+        sender = self.membership.get(briefing.instance)
+        if sender is not None:
             self._peering.pull_if_behind(
-                teller.peer_address,
+                sender.peer_address,
                 store,
                 Revisions(revision),
             )
 
-    def _ask_seeds(self):
-        """Ask the seeds while nobody else is known to be alive."""
+    def _probe_seeds(self):
+        """Probe the seeds while no other instance is known to be alive."""
         if len(self.membership.believed_alive()) > 1:
             return
         now_ms = self._now_ms()
-        is_early = now_ms - self._start_ms < _EARLY_MS
-        if not is_early and now_ms - self._asked_seeds_ms < _LONELY_MS:
+        is_startup = now_ms - self._start_ms < _STARTUP_MS
+        if (
+            not is_startup
+            and now_ms - self._seeds_probed_ms < _SLOW_SEED_INTERVAL_MS
+        ):
             return
-        self._asked_seeds_ms = now_ms
+        self._seeds_probed_ms = now_ms
         own = self.membership.own.peer_address
         for address in self._seeds:
             if address != own:
-                self._peering.probe(address, _ignore)
+                self._peering.probe(address, _ignore_answer)
 
 
 def list_impressions(node, now_ms):
-    """Return what an instance thinks of servers that seem unsound to it.
+    """Return the impressions of servers that an instance suspects.
 
     Args:
       node: The ForwardNode.
-      now_ms: The time.
+      now_ms: The current time.
     Returns:
-      A list of Impression, by this instance's own requests only.
+      A list of Impression, based on this instance's own requests only.
     """
     impressions = []
     for backend in node.fleet:
@@ -401,10 +404,10 @@
     return impressions
 
 
-def _write_address(address):
+def _format_address(address):
     host, port = address
     return f'{host}:{port}'
 
 
-def _ignore(_answered):
-    """Take the end of a probe that only looks for others."""
+def _ignore_answer(_answered):
+    """Ignore the outcome of a probe to a seed."""
--- a/crankchute/entry/forward_peers_test.py
+++ b/crankchute/entry/forward_peers_test.py
@@ -1,78 +1,85 @@
-"""Tests of what an instance that starts gets from the others."""
+"""Tests of the replication of configuration and servers between instances."""
 
 import pytest
 
 from crankchute.core.forward_config import ForwardConfig, ForwardConfigHolder
 from crankchute.core.replica import ChangeSet, Entry
 from crankchute.core.server_list import ServerList
-from crankchute.entry.forward_peers import ConfigExchange, ServersExchange
+from crankchute.entry.forward_peers import ConfigStore, ServerStore
 
 
-def make_list(*revisions):
+def make_servers(*revisions):
     servers = ServerList()
     if revisions:
-        entries = {f's{one}': Entry(one, b'{}') for one in revisions}
+        entries = {
+            f's{revision}': Entry(revision, b'{}') for revision in revisions
+        }
         servers.take_all(entries, max(revisions))
     return servers
 
 
-def make_exchange(servers, taken):
-    def take(changes):
-        taken.append(changes)
+def make_store(servers, applied):
+    def apply(changes):
+        applied.append(changes)
         servers.take(changes)
         return True
 
-    return ServersExchange(servers, take)
+    return ServerStore(servers, apply)
 
 
 @pytest.mark.parametrize('known', [(), (1,), (1, 2)])
-def test_instance_without_the_store_gets_the_servers(known):
-    taken = []
-    teller = make_exchange(make_list(1, 2, 4), [])
-    servers = make_list(*known)
-    learner = make_exchange(servers, taken)
-    changes = teller.changes_for(learner.revision, learner.seen_revision)
-    assert learner.offer(changes)
-    assert set(taken[0].entries) == {'s1', 's2', 's4'}
+def test_outdated_instance_receives_the_servers(known):
+    applied = []
+    sender = make_store(make_servers(1, 2, 4), [])
+    servers = make_servers(*known)
+    receiver = make_store(servers, applied)
+    changes = sender.changes_for(receiver.revision, receiver.seen_revision)
+    assert receiver.offer(changes)
+    assert set(applied[0].entries) == {'s1', 's2', 's4'}
     assert servers.revision == 4
 
 
-def test_only_what_changed_since_is_handed_over():
-    servers = make_list(1, 2)
+def test_only_later_changes_are_sent():
+    servers = make_servers(1, 2)
     servers.take(ChangeSet(2, 5, {'s1': Entry(4, None), 's9': Entry(5, b'{}')}))
-    changes = make_exchange(servers, []).changes_for(2, 2)
+    changes = make_store(servers, []).changes_for(2, 2)
     assert changes.since == 2
     assert set(changes.entries) == {'s1', 's9'}
 
 
 @pytest.mark.parametrize(
-    ('teller', 'learner'),
+    ('sender', 'receiver'),
     [((), ()), ((3,), (3,)), ((), (3,)), ((3,), (3, 4))],
 )
-def test_nothing_is_handed_over_without_need(teller, learner):
-    told = make_exchange(make_list(*teller), [])
-    own = make_exchange(make_list(*learner), [])
-    assert told.changes_for(own.revision, own.seen_revision) is None
+def test_nothing_is_sent_to_an_instance_that_is_up_to_date(sender, receiver):
+    sender_store = make_store(make_servers(*sender), [])
+    receiver_store = make_store(make_servers(*receiver), [])
+    assert (
+        sender_store.changes_for(
+            receiver_store.revision, receiver_store.seen_revision
+        )
+        is None
+    )
 
 
 @pytest.mark.parametrize(
-    ('theirs', 'mine', 'rises'), [(7, 3, True), (3, 7, False)]
+    ('sent', 'known', 'is_newer'), [(7, 3, True), (3, 7, False)]
 )
-def test_newer_configuration_is_taken(theirs, mine, rises):
-    taken = []
-    teller = ForwardConfigHolder()
-    teller.offer(ForwardConfig(theirs, [], []), b'theirs')
-    learner = ForwardConfigHolder()
-    learner.offer(ForwardConfig(mine, [], []), b'mine')
-
-    def take(payload):
-        taken.append(payload)
-        learner.offer(ForwardConfig(theirs, [], []), payload)
-
-    own = ConfigExchange(learner, take)
-    changes = ConfigExchange(teller, None).changes_for(own.revision, 0)
-    assert (changes is not None) == rises
-    if rises:
-        assert own.offer(changes)
-        assert taken == [b'theirs']
-    assert learner.version == max(theirs, mine)
+def test_only_newer_configuration_is_applied(sent, known, is_newer):
+    applied = []
+    sender = ForwardConfigHolder()
+    sender.offer(ForwardConfig(sent, [], []), b'theirs')
+    receiver = ForwardConfigHolder()
+    receiver.offer(ForwardConfig(known, [], []), b'mine')
+
+    def apply(payload):
+        applied.append(payload)
+        receiver.offer(ForwardConfig(sent, [], []), payload)
+
+    receiver_store = ConfigStore(receiver, apply)
+    changes = ConfigStore(sender, None).changes_for(receiver_store.revision, 0)
+    assert (changes is not None) == is_newer
+    if is_newer:
+        assert receiver_store.offer(changes)
+        assert applied == [b'theirs']
+    assert receiver.version == max(sent, known)
