--- a/crankchute/entry/forward_node.py
+++ b/crankchute/entry/forward_node.py
@@ -1,8 +1,7 @@
-"""One instance that forwards requests: the parts, wired on one loop.
+"""An instance that forwards requests, assembled on one event loop.
 
-It knows nothing of how requests and backend servers are spoken to: a
-ForwardPort, and whoever hands it configurations and entries of backend
-servers, are given to it.
+It is independent of the protocols of callers and backend servers: the host
+passes in a ForwardPort, the configuration and the list of backend servers.
 """
 
 import random
@@ -31,27 +30,26 @@
 JOINING = 'joining'
 SERVING = 'serving'
 DRAINING = 'draining'
-#: Some callers keep an address answer for three times its time to live.
-_TTL_FACTOR = 3
-#: What is kept free of the time to stop, for the last answers to arrive.
-_STOP_MARGIN_MS = 800
-_STOP_CHECK_MS = 100
-_COUNT_MS = 1000
+#: Some callers keep an address response for three times its time to live.
+_ADDRESS_TTL_FACTOR = 3
+#: Part of the grace period reserved for the delivery of the last responses.
+_GRACE_MARGIN_MS = 800
+_DRAIN_CHECK_INTERVAL_MS = 100
+_INSTANCE_COUNT_INTERVAL_MS = 1000
 _MS_PER_SECOND = 1000
 
 
 class InstanceIdentity:
-    """Who an instance is, and where others find it.
+    """The identity and the addresses of an instance.
 
     Attributes:
-      instance: Its id.
+      instance: The id of the instance.
       boot: The random id of this process.
-      data_centre: Where it runs.
-      peer_address: Where other instances reach it, a pair of IP and port.
-      caller_address: Where callers reach it, a pair of IP and port.
-      seeds: Where other instances may be found, pairs of IP and port.
-      strength: The processor that it has, in thousandths of a core, or 0
-        where that is not known.
+      data_centre: The data centre that it runs in.
+      peer_address: The address for other instances, a pair of IP and port.
+      caller_address: The address for callers, a pair of IP and port.
+      seeds: Addresses of other instances, pairs of IP and port.
+      strength: The available CPU in thousandths of a core, 0 if unknown.
     """
 
     __slots__ = (
@@ -83,13 +81,13 @@
 
 
 class ForwardLimits:
-    """What an instance is held to.
+    """The configurable limits of an instance.
 
     Attributes:
-      retries: RetryLimits of all instances together.
-      address_ttl_ms: How long callers may keep an address answer.
-      grace_ms: How long stopping may take.
-      unused_ms: How long an engine's memory may be set aside unused.
+      retries: The RetryLimits that apply to all instances together.
+      address_ttl_ms: How long callers may cache an address response.
+      grace_ms: How long a shutdown may take.
+      unused_ms: How long reserved engine memory may stay unused.
     """
 
     __slots__ = ('address_ttl_ms', 'grace_ms', 'retries', 'unused_ms')
@@ -114,18 +112,18 @@
 
     Attributes:
       identity: The InstanceIdentity.
-      phase: "joining", "serving", or "draining" (out of address answers,
-        still serving callers that hold old ones).
+      phase: "joining", "serving", or "draining" (no longer in address
+        responses, but still serving callers that have cached one).
       journal: The ForwardJournal.
-      servers: The ServerList, as the platform publishes it.
+      servers: The ServerList published by the platform.
       crashes: The CrashLedger.
       on_serving: Called when the instance begins to serve.
-      on_draining: Called when stopping begins.
-      on_stopped: Called when nothing is left to do.
+      on_draining: Called when the shutdown begins.
+      on_stopped: Called when the shutdown is complete.
     """
 
     def __init__(self, loop, identity, limits, wiring):
-        """Wire the parts and begin to look for other instances.
+        """Assemble the components and start to discover other instances.
 
         Args:
           loop: The Loop.
@@ -147,13 +145,13 @@
         self.fleet = ForwardFleet(loop.timers, wiring.pool_label)
         self.servers = ServerList()
         self.board = EngineBoard(self.now_ms)
-        self.crashes = CrashLedger(self.now_ms, self._on_held)
+        self.crashes = CrashLedger(self.now_ms, self._on_request_blocked)
         self._hints = ReturnHints(self.random)
         self._limits = limits
         self._is_connected = wiring.port.is_connected
         self._choosers = {}
-        self._has_listed = False
-        self._stop_ms = None
+        self._has_server_list = False
+        self._drain_started_ms = None
         self.journal = ForwardJournal(self.holder, self.timers.clock)
         self._reservations = ReservationDesk(
             wiring.reservations,
@@ -171,17 +169,17 @@
             reservations=self._reservations,
             hints=self._hints,
             crashes=self.crashes,
-            note_moved=self._on_moved,
-            chooser_of=self._chooser_of,
+            note_moved=self._on_server_moved,
+            chooser_of=self._find_chooser,
         )
         self.desk = ForwardDesk(ports, limits.retries)
-        self._survey = LoadSurvey(
+        self._load_survey = LoadSurvey(
             wiring.reports,
             self.random,
-            self._note_report,
+            self._on_load_report,
         )
         self._forget_connections = wiring.port.forget
-        self.fleet.subscribe_restarted(self._on_restarted)
+        self.fleet.subscribe_restarted(self._on_server_restarted)
         self.peers = ForwardPeers(loop, self, wiring)
         self.desk.lending = self.peers.lending
         limit_prober = LimitProber(self, wiring.reports)
@@ -192,11 +190,13 @@
         )
         self.holder.subscribe(self._on_config)
         self._add_gauges()
-        self.timers.every(_COUNT_MS, self._count_instances)
+        self.timers.every(
+            _INSTANCE_COUNT_INTERVAL_MS, self._update_instance_count
+        )
 
     @property
     def is_accepting(self):
-        """Whether callers may be sent here, a bool."""
+        """Whether callers may be directed to this instance, a bool."""
         return self.phase == SERVING
 
     def now_ms(self):
@@ -204,7 +204,7 @@
         return self.timers.clock.now_ms()
 
     def reload(self, limits, seeds):
-        """Take changed limits and seeds.
+        """Apply changed limits and seeds.
 
         Args:
           limits: ForwardLimits.
@@ -216,26 +216,26 @@
         self.peers.replace_seeds(seeds)
 
     def stop(self):
-        """Stop as planned: nothing in progress is cut off."""
+        """Shut down gracefully: requests in progress are completed."""
         if self.phase == DRAINING:
             return
-        self._enter(DRAINING)
+        self._enter_phase(DRAINING)
         self.peers.announce(is_serving=False)
-        self._stop_ms = self.now_ms()
-        self.timers.every(_STOP_CHECK_MS, self._check_stopped)
+        self._drain_started_ms = self.now_ms()
+        self.timers.every(_DRAIN_CHECK_INTERVAL_MS, self._check_drained)
         if self.on_draining is not None:
             self.on_draining()
 
     def note_listed(self):
-        """Note that the backend servers are known, be they many or none."""
-        self._has_listed = True
-        self._check_informed()
+        """Record that the list of backend servers is known, even if empty."""
+        self._has_server_list = True
+        self._check_ready()
 
     def note_refused(self, request_id, refusal):
-        """Count and log a request that was refused before it was a job.
+        """Count and log a request that was rejected before it became a job.
 
         Args:
-          request_id: The caller's id of it, or None.
+          request_id: The id that the caller assigned, or None.
           refusal: A RequestRefused.
         """
         self.metrics.count('bad_requests', refusal.code)
@@ -245,19 +245,19 @@
         """Return the addresses that a caller should use.
 
         Args:
-          data_centre: Where the caller is.
+          data_centre: The data centre of the caller.
         Returns:
           A list of "IP:port".
         """
         members = self.peers.sharing.choose_addresses(data_centre)
         return [member.http_address for member in members]
 
-    def _check_informed(self):
-        """Serve once the configuration and backend servers are known."""
-        is_informed = self._has_listed and self.holder.version
-        if self.phase != JOINING or not is_informed:
+    def _check_ready(self):
+        """Start to serve once the configuration and server list are known."""
+        is_ready = self._has_server_list and self.holder.version
+        if self.phase != JOINING or not is_ready:
             return
-        self._enter(SERVING)
+        self._enter_phase(SERVING)
         self.peers.announce(is_serving=True)
         if self.on_serving is not None:
             self.on_serving()
@@ -285,48 +285,49 @@
                 lambda: len(self.peers.membership.believed_alive()),
             ),
         )
-        for name, text, function in gauges:
-            self.metrics.add_gauge(name, text, function)
+        for name, help_text, function in gauges:
+            self.metrics.add_gauge(name, help_text, function)
 
     def _proof_age_s(self):
         age_ms = self.holder.proof_age_ms(self.now_ms())
         return float('inf') if age_ms is None else age_ms / _MS_PER_SECOND
 
-    def _chooser_of(self, pool):
+    def _find_chooser(self, pool):
         return self._choosers.get(pool)
 
-    def _note_work(self, change, work):
-        """Tell the others of work, and learn what engines have at the first."""
+    def _on_work(self, change, work):
+        """Share a change of engine work; the first one also queries loads."""
         self.peers.sharing.note(change, work)
-        self._survey.run(lambda: self._list_siblings(work.engine))
+        self._load_survey.run(lambda: self._list_siblings(work.engine))
 
     def _list_siblings(self, engine):
-        """Return the servers of an engine's pool that take limit_prober."""
+        """Return the servers of an engine's pool that may be queried."""
         backend = self.fleet.get(engine)
         if backend is None:
             return []
         limit_of = self.peers.limits.words.limit_of
         now_ms = self.now_ms()
         return [
-            one
-            for one in self.fleet.members_of(self.fleet.pool_of(backend))
-            if limit_of(one.identity) is None and now_ms >= one.refused_until_ms
+            sibling
+            for sibling in self.fleet.members_of(self.fleet.pool_of(backend))
+            if limit_of(sibling.identity) is None
+            and now_ms >= sibling.refused_until_ms
         ]
 
-    def _note_report(self, backend, load):
-        reporting = self.fleet.find_reporting(backend, load.born)
-        if reporting is None:
+    def _on_load_report(self, backend, load):
+        reporting_backend = self.fleet.find_reporting(backend, load.born)
+        if reporting_backend is None:
             return
-        chooser = self._chooser_of(self.fleet.pool_of(reporting))
+        chooser = self._find_chooser(self.fleet.pool_of(reporting_backend))
         if chooser is not None:
-            chooser.note_report(reporting, load)
+            chooser.note_report(reporting_backend, load)
 
-    def _on_moved(self, backend):
+    def _on_server_moved(self, backend):
         log_change('server_moved', server=backend.identity)
         self.fleet.note_gone(backend.identity, is_seen=True)
 
-    def _on_held(self, fingerprint, servers):
-        """Tell operators that a request is not sent any more."""
+    def _on_request_blocked(self, fingerprint, servers):
+        """Count and log a request that is blocked because servers crashed."""
         self.metrics.count('requests_held')
         log_change(
             'request_held',
@@ -335,8 +336,8 @@
             servers=servers,
         )
 
-    def _on_restarted(self, backend):
-        """Drop what goes by the earlier start of a server."""
+    def _on_server_restarted(self, backend):
+        """Discard the state of the previous process of a server."""
         log_change('server_restarted', server=backend.identity)
         self.desk.note_restarted(backend)
         self.board.forget(backend.identity)
@@ -348,7 +349,7 @@
             for name, pool in config.pools.items()
         }
         log_change('config_in_force', version=config.version)
-        self._check_informed()
+        self._check_ready()
 
     def _make_chooser(self, pool):
         name = LEAST_BUSY if pool.figures is None else PREDICTED
@@ -359,7 +360,7 @@
             random=self.random,
             board=self.board,
             hints=self._hints,
-            news=self._note_work,
+            news=self._on_work,
             new_ticket=self._reservations.new_ticket,
             heard_ms_ago=self.peers.sharing.heard_ms_ago,
             data_centre=self.identity.data_centre,
@@ -368,38 +369,38 @@
         )
         return choosers[name](parts)
 
-    def _count_instances(self):
+    def _update_instance_count(self):
         self.desk.note_instances(len(self.peers.membership))
 
-    def _check_stopped(self):
-        waited_ms = self.now_ms() - self._stop_ms
-        grace_ms = self._limits.grace_ms - _STOP_MARGIN_MS
-        old_answers_ms = self._limits.address_ttl_ms * _TTL_FACTOR
-        if waited_ms < min(old_answers_ms, grace_ms):
+    def _check_drained(self):
+        elapsed_ms = self.now_ms() - self._drain_started_ms
+        grace_ms = self._limits.grace_ms - _GRACE_MARGIN_MS
+        cached_addresses_ms = self._limits.address_ttl_ms * _ADDRESS_TTL_FACTOR
+        if elapsed_ms < min(cached_addresses_ms, grace_ms):
             return
-        if waited_ms < grace_ms and self.desk.in_progress:
+        if elapsed_ms < grace_ms and self.desk.in_progress:
             return
         log_change('stopped', in_progress=self.desk.in_progress)
         self.peers.stop()
         if self.on_stopped is not None:
             self.on_stopped()
 
-    def _enter(self, phase):
+    def _enter_phase(self, phase):
         self.phase = phase
         log_change('phase', phase=phase)
 
 
 class ForwardWiring:
-    """What a host gives an instance that forwards requests.
+    """The adapters and callbacks that the host passes to a ForwardNode.
 
     Attributes:
       port: A ForwardPort.
       reservations: A ReservationPort.
       reports: A ReportPort.
-      take_config: A function of the bytes of a configuration.
-      take_servers: A function of a ChangeSet of the servers' entries that
-        tells whether anything was new.
-      pool_label: The label of a backend server that names its pool.
+      take_config: A function that applies the bytes of a configuration.
+      take_servers: A function that applies a ChangeSet of server entries
+        and returns whether anything changed.
+      pool_label: The label that holds the pool name of a backend server.
     """
 
     __slots__ = (
@@ -412,7 +413,7 @@
     )
 
     def __init__(self, **fields):
-        """Gather the parts.
+        """Create the record.
 
         Args:
           fields: A value for each attribute.
--- a/crankchute/entry/forward_node_test.py
+++ b/crankchute/entry/forward_node_test.py
@@ -1,4 +1,4 @@
-"""Tests of how an instance stops; it takes part over loopback sockets."""
+"""Tests of shutdown, load queries and server restarts at one instance."""
 
 import pytest
 
@@ -31,8 +31,8 @@
 _GRACE_MS = 60_000
 
 
-class World:
-    """An instance with one server, which answers when a test says so."""
+class SingleInstance:
+    """An instance with one fake server that a test controls."""
 
     def __init__(self, figures=None):
         self.reports = FakeReports()
@@ -64,30 +64,30 @@
         self.node = ForwardNode(self.loop, identity, limits, wiring)
         self.stopped = []
         self.node.on_stopped = lambda: self.stopped.append(True)
-        self._publish(figures)
+        self._configure_pool(figures)
 
-    def wait_turns(self, delay_ms):
-        """Let the loop run for a while."""
-        over = []
-        self.loop.timers.after(delay_ms, lambda: over.append(True))
-        self.loop.run_until(lambda: bool(over), _TICK_S)
+    def run_for(self, delay_ms):
+        """Run the event loop for some time."""
+        elapsed = []
+        self.loop.timers.after(delay_ms, lambda: elapsed.append(True))
+        self.loop.run_until(lambda: bool(elapsed), _TICK_S)
 
     def submit(self):
-        """Return the sink of a request that its server works on."""
+        """Submit a request and return its sink."""
         now_ms = self.node.now_ms()
         job = make_job(arrived_ms=now_ms, deadline_ms=now_ms + _GRACE_MS)
         sink = FakeSink()
         self.node.desk.submit(job, sink)
         return sink
 
-    def answer(self):
-        """Let the server answer its oldest request."""
+    def answer_oldest(self):
+        """Complete the oldest request at the server."""
         listener = self.port.calls.pop(0).listener
         listener.on_head(AnswerHead(200))
         listener.on_end()
 
     def list_server(self, born):
-        """Take the entry of the server, as it started at some time."""
+        """List the server with a start time."""
         self.node.fleet.put(
             Listed(
                 {
@@ -101,7 +101,7 @@
             )
         )
 
-    def _publish(self, figures):
+    def _configure_pool(self, figures):
         self.list_server(100)
         config = ForwardConfig(1, [], [PoolConfig(POOL, 8, figures)])
         self.node.holder.offer(config, b'')
@@ -109,54 +109,54 @@
 
 
 @pytest.mark.parametrize('in_progress', [0, 1, 3])
-def test_stopping_waits_for_what_is_in_progress(in_progress):
-    """Every request that was read gets its answer, late ones included."""
-    world = World()
-    sinks = [world.submit() for _ in range(in_progress)]
-    world.node.stop()
-    assert not world.node.is_accepting
+def test_shutdown_waits_for_requests_in_progress(in_progress):
+    """Requests that arrive during the shutdown are answered, too."""
+    instance = SingleInstance()
+    sinks = [instance.submit() for _ in range(in_progress)]
+    instance.node.stop()
+    assert not instance.node.is_accepting
     if in_progress:
-        world.wait_turns(400)
-        assert not world.stopped
-        sinks.append(world.submit())
-        while world.port.calls:
-            world.answer()
-    world.loop.run_until(lambda: bool(world.stopped), _TICK_S)
+        instance.run_for(400)
+        assert not instance.stopped
+        sinks.append(instance.submit())
+        while instance.port.calls:
+            instance.answer_oldest()
+    instance.loop.run_until(lambda: bool(instance.stopped), _TICK_S)
     for sink in sinks:
         assert sink.seen == [('answer', 200)]
 
 
-def test_first_request_to_an_engine_asks_for_its_load():
-    world = World(make_figures())
-    assert not world.reports.asked
-    world.submit()
-    world.submit()
-    assert world.reports.asked == ['s1@100']
+def test_first_request_to_an_engine_queries_its_load():
+    instance = SingleInstance(make_figures())
+    assert not instance.reports.asked
+    instance.submit()
+    instance.submit()
+    assert instance.reports.asked == ['s1@100']
 
 
-def test_restart_of_a_server_ends_all_that_went_by_its_earlier_start():
-    world = World(make_figures())
-    sink = world.submit()
-    state = world.node.board.state('s1@100')
+def test_server_restart_discards_the_state_of_the_old_process():
+    instance = SingleInstance(make_figures())
+    sink = instance.submit()
+    state = instance.node.board.state('s1@100')
     assert state.works
-    world.list_server(200)
-    first, again = world.port.calls
-    assert first.cancelled
-    assert again.placement.backend.identity == 's1@200'
-    assert world.port.forgotten == ['s1@100']
-    assert not world.node.board.state('s1@100').works
-    assert len(world.node.board.state('s1@200').works) == 1
-    world.port.calls.pop(0)
-    world.answer()
+    instance.list_server(200)
+    first_call, second_call = instance.port.calls
+    assert first_call.cancelled
+    assert second_call.placement.backend.identity == 's1@200'
+    assert instance.port.forgotten == ['s1@100']
+    assert not instance.node.board.state('s1@100').works
+    assert len(instance.node.board.state('s1@200').works) == 1
+    instance.port.calls.pop(0)
+    instance.answer_oldest()
     assert sink.seen == [('answer', 200)]
-    assert not world.node.board.state('s1@200').works
+    assert not instance.node.board.state('s1@200').works
 
 
-def test_report_may_tell_first_that_an_engine_started_again():
-    world = World(make_figures())
+def test_load_report_reveals_an_engine_restart():
+    instance = SingleInstance(make_figures())
     load = SeenLoad(3, born=200)
-    world.reports.loads['s1@100'] = load
-    world.submit()
-    assert world.node.fleet.get('s1@100') is None
-    state = world.node.board.state('s1@200')
-    assert state.count_requests(world.node.now_ms(), 1000) >= 2
+    instance.reports.loads['s1@100'] = load
+    instance.submit()
+    assert instance.node.fleet.get('s1@100') is None
+    state = instance.node.board.state('s1@200')
+    assert state.count_requests(instance.node.now_ms(), 1000) >= 2
--- a/crankchute/entry/forward_state_test.py
+++ b/crankchute/entry/forward_state_test.py
@@ -3,7 +3,7 @@
 import pytest
 
 from crankchute.core.forward_fleet_test import make_listed
-from crankchute.entry.forward_node_test import World
+from crankchute.entry.forward_node_test import SingleInstance
 from crankchute.entry.forward_state import dump_forward_node
 
 
@@ -16,17 +16,17 @@
     ],
 )
 def test_state_tells_what_the_instance_knows(name, found):
-    world = World()
+    world = SingleInstance()
     assert dump_forward_node(world.node)[name] == found
 
 
 def test_state_tells_how_strong_members_are():
-    members = dump_forward_node(World().node)['members']
+    members = dump_forward_node(SingleInstance().node)['members']
     assert [one['strength'] for one in members] == [0]
 
 
 def test_state_tells_which_servers_rest():
-    node = World().node
+    node = SingleInstance().node
     node.fleet.rests.note('a', 60_000)
     node.fleet.put(make_listed('a'))
     node.fleet.put(make_listed('b'))
