--- a/crankchute/entry/forward_state.py
+++ b/crankchute/entry/forward_state.py
@@ -1,15 +1,15 @@
-"""The state of an instance that forwards requests, written out for people."""
+"""The state dump of an instance that forwards requests."""
 
 from crankchute.adapters.forward_journal import write_fingerprint
 
 
 def dump_forward_node(node):
-    """Return the state of an instance.
+    """Return the state of an instance for operators.
 
     Args:
       node: A ForwardNode.
     Returns:
-      A map of JSON values.
+      A dict of JSON values.
     """
     now_ms = node.now_ms()
     return {
@@ -26,17 +26,19 @@
             'revision': node.servers.revision,
             'proof_age_ms': node.servers.proof_age_ms(now_ms),
         },
-        'active': [one.identity for one in node.peers.sharing.active],
+        'active': [entry.identity for entry in node.peers.sharing.active],
         'home': node.peers.sharing.home,
         'peers_heard_ms_ago': node.peers.sharing.heard_ms_ago(),
         'members': [
-            _dump_member(one) for one in node.peers.membership.all_members()
+            _dump_member(entry) for entry in node.peers.membership.all_members()
         ],
-        'servers': [_dump_server(node, one) for one in node.fleet],
+        'servers': [_dump_server(node, entry) for entry in node.fleet],
         'servers_drained': node.fleet.list_drained(),
         'servers_gone': node.fleet.gone(),
         'requests_in_progress': node.desk.in_progress,
-        'requests_held': [_dump_held(one, now_ms) for one in node.crashes.held],
+        'requests_held': [
+            _dump_held(entry, now_ms) for entry in node.crashes.held
+        ],
         'crashes_remembered': len(node.crashes),
         'counters': _dump_counters(node.metrics.counts),
     }
--- a/crankchute/entry/forward_state_test.py
+++ b/crankchute/entry/forward_state_test.py
@@ -1,4 +1,4 @@
-"""Tests of the state of an instance as people read it."""
+"""Tests of the state dump of an instance that forwards requests."""
 
 import pytest
 
@@ -8,31 +8,31 @@
 
 
 @pytest.mark.parametrize(
-    ('name', 'found'),
+    ('name', 'expected'),
     [
         ('instance', 'one'),
         ('home', None),
         ('servers_listed', {'revision': 0, 'proof_age_ms': None}),
     ],
 )
-def test_state_tells_what_the_instance_knows(name, found):
-    world = SingleInstance()
-    assert dump_forward_node(world.node)[name] == found
+def test_state_holds_the_value(name, expected):
+    instance = SingleInstance()
+    assert dump_forward_node(instance.node)[name] == expected
 
 
-def test_state_tells_how_strong_members_are():
+def test_state_holds_the_cpu_of_members():
     members = dump_forward_node(SingleInstance().node)['members']
-    assert [one['strength'] for one in members] == [0]
+    assert [member['strength'] for member in members] == [0]
 
 
-def test_state_tells_which_servers_rest():
+def test_state_holds_the_backoff_of_servers():
     node = SingleInstance().node
     node.fleet.rests.note('a', 60_000)
     node.fleet.put(make_listed('a'))
     node.fleet.put(make_listed('b'))
-    rests_ms = {
-        one['server']: one['rests_for_ms']
-        for one in dump_forward_node(node)['servers']
+    backoff_ms = {
+        server['server']: server['rests_for_ms']
+        for server in dump_forward_node(node)['servers']
     }
-    assert 50_000 < rests_ms['a'] <= 60_000
-    assert rests_ms['b'] == 0
+    assert 50_000 < backoff_ms['a'] <= 60_000
+    assert backoff_ms['b'] == 0
