--- a/crankchute/entry/forward_peers.py
+++ b/crankchute/entry/forward_peers.py
@@ -240,7 +240,7 @@
         return [member.identity for member in self.sharing.active]
 
     def is_lost(self, instance):
-        """Return whether an instance is silent without having announced to leave.
+        """Return whether an instance is silent without announcing a shutdown.
 
         Args:
           instance: The instance's id.
