--- a/crankchute/adapters/__init__.py
+++ b/crankchute/adapters/__init__.py
@@ -1,1 +1,1 @@
-"""The ports met with libraries: circuits, grpcio, prometheus_client, eliot."""
+"""Adapters between the ports and circuits, grpcio, prometheus_client, eliot."""
