--- a/crankchute/adapters/crash_records.py
+++ b/crankchute/adapters/crash_records.py
@@ -1,4 +1,4 @@
-"""Conversions of what instances remember of crashes to messages and back."""
+"""Conversion between crash information and its protobuf messages."""
 
 from crankchute.core.crash_news import (
     ClearedRequest,
@@ -8,16 +8,16 @@
 )
 from crankchute.proto import peer_pb2
 
-#: The age sent for a begin that is not known.
-_NO_AGE = -1
+#: Sent in place of an age when the start time is unknown.
+_UNKNOWN_AGE = -1
 
 
 def write_crashes(news, now_ms):
-    """Return the message of CrashNews, or None; times are told as ages.
+    """Return the message for CrashNews, or None; times become ages.
 
     Args:
       news: CrashNews or None.
-      now_ms: The time on this process's clock.
+      now_ms: The current time of this process's clock.
     """
     if news is None:
         return None
@@ -42,11 +42,11 @@
 
 
 def read_crashes(record, now_ms):
-    """Return the CrashNews of a message that may hold some, or None.
+    """Return the CrashNews in a message, or None if it has none.
 
     Args:
       record: A Briefing or Gossip message.
-      now_ms: The time on this process's clock.
+      now_ms: The current time of this process's clock.
     """
     if not record.HasField('crashes'):
         return None
@@ -71,7 +71,7 @@
 def _write_crash(crash, now_ms):
     requests = list(crash.requests)
     ages_ms = [
-        now_ms - crash.begun_ms[one] if one in crash.begun_ms else _NO_AGE
+        now_ms - crash.begun_ms[one] if one in crash.begun_ms else _UNKNOWN_AGE
         for one in requests
     ]
     return peer_pb2.CrashRecord(
@@ -83,11 +83,11 @@
 
 
 def _read_crash(record, now_ms):
-    """Return the Crash of a message; an older teller tells no begins."""
-    told = zip(record.requests, record.begun_age_ms, strict=False)
+    """Return the Crash of a message; older senders omit the start ages."""
+    aged_requests = zip(record.requests, record.begun_age_ms, strict=False)
     return Crash(
         record.server,
         now_ms - record.age_ms,
         record.requests,
-        {one: now_ms - age_ms for one, age_ms in told if age_ms >= 0},
+        {one: now_ms - age_ms for one, age_ms in aged_requests if age_ms >= 0},
     )
