--- a/crankchute/adapters/early_listen.py
+++ b/crankchute/adapters/early_listen.py
@@ -1,4 +1,4 @@
-"""Listening sockets that are open before anything else of a process is."""
+"""Listening sockets, opened before the rest of the process starts."""
 
 import socket
 
@@ -6,14 +6,14 @@
 
 
 def listen_on(addresses):
-    """Listen on several addresses.
+    """Open non-blocking listening sockets on several addresses.
 
     Args:
       addresses: Pairs of IP number and port.
     Returns:
-      A map from address to a socket that does not block.
+      A map from address to socket.
     Raises:
-      OSError: If one of them is taken; its text names the address.
+      OSError: If an address cannot be bound; the message names it.
     """
     sockets = {}
     for address in addresses:
--- a/crankchute/adapters/early_listen_test.py
+++ b/crankchute/adapters/early_listen_test.py
@@ -1,4 +1,4 @@
-"""Tests of sockets that are open before a process is ready."""
+"""Tests of listening sockets that are opened at startup."""
 
 import socket
 
@@ -9,7 +9,7 @@
 _LOOPBACK = '127.0.0.1'
 
 
-def find_ports(count):
+def find_free_addresses(count):
     opened = [socket.create_server((_LOOPBACK, 0)) for _ in range(count)]
     addresses = [sock.getsockname() for sock in opened]
     for sock in opened:
@@ -17,8 +17,8 @@
     return addresses
 
 
-def test_callers_can_connect_before_anybody_accepts():
-    addresses = find_ports(2)
+def test_clients_connect_before_accept_is_called():
+    addresses = find_free_addresses(2)
     sockets = listen_on(addresses)
     assert set(sockets) == set(addresses)
     for address in addresses:
@@ -28,8 +28,8 @@
         sock.close()
 
 
-def test_taken_address_is_named_and_the_others_closed():
-    free, taken = find_ports(2)
+def test_error_names_the_address_in_use_and_closes_the_rest():
+    free, taken = find_free_addresses(2)
     with socket.create_server(taken):
         with pytest.raises(OSError, match=str(taken[1])):
             listen_on([free, taken])
