--- a/crankchute/adapters/early_requests.py
+++ b/crankchute/adapters/early_requests.py
@@ -1,54 +1,55 @@
-"""Requests that came before a process knew its configuration.
+"""A queue for requests that arrive before the configuration is loaded.
 
-The first answers of the store come some ten milliseconds after the start.  A
-request that came earlier waits for them, for a short time only: then it is
-served, or refused, like any other.
+The first replies of the store arrive shortly after startup.  Earlier requests
+wait for them up to a time limit and are then served or refused as usual.
 """
 
 
 class EarlyRequests:
-    """Holds requests until the process is informed."""
+    """Queues requests until the configuration is loaded."""
 
-    def __init__(self, timers, serve, longest_ms):
-        """Create without requests.
+    def __init__(self, timers, serve, max_wait_ms):
+        """Create an empty queue.
 
         Args:
           timers: A TimerService.
-          serve: A function of a ForwardExchange.
-          longest_ms: How long a request may wait, in milliseconds.
+          serve: A function that serves a ForwardExchange.
+          max_wait_ms: How long a request may be queued, in milliseconds.
         """
-        self._longest_ms = longest_ms
+        self._max_wait_ms = max_wait_ms
         self._timers = timers
         self._serve = serve
-        self._waiting = []
-        self._is_informed = False
+        self._queue = []
+        self._is_ready = False
 
     def take(self, exchange):
-        """Serve a request, or let it wait.
+        """Serve a request, or queue it.
 
         Args:
           exchange: A ForwardExchange.
         """
-        if self._is_informed:
+        if self._is_ready:
             self._serve(exchange)
             return
-        self._waiting.append(exchange)
-        exchange.on_gone = lambda: self._waiting.remove(exchange)
-        self._timers.after(self._longest_ms, lambda: self._give_up(exchange))
+        self._queue.append(exchange)
+        exchange.on_gone = lambda: self._queue.remove(exchange)
+        self._timers.after(
+            self._max_wait_ms, lambda: self._on_timeout(exchange)
+        )
 
     def note_informed(self):
-        """Serve all that wait, and whatever comes from now on."""
-        self._is_informed = True
-        waiting = self._waiting
-        self._waiting = []
-        for exchange in waiting:
-            self._hand_over(exchange)
-
-    def _give_up(self, exchange):
-        if exchange in self._waiting:
-            self._waiting.remove(exchange)
-            self._hand_over(exchange)
-
-    def _hand_over(self, exchange):
+        """Serve all queued requests, and later ones at once."""
+        self._is_ready = True
+        queue = self._queue
+        self._queue = []
+        for exchange in queue:
+            self._serve_queued(exchange)
+
+    def _on_timeout(self, exchange):
+        if exchange in self._queue:
+            self._queue.remove(exchange)
+            self._serve_queued(exchange)
+
+    def _serve_queued(self, exchange):
         exchange.on_gone = None
         exchange.serve(self._serve)
--- a/crankchute/adapters/early_requests_test.py
+++ b/crankchute/adapters/early_requests_test.py
@@ -1,4 +1,4 @@
-"""Tests of requests that come before the process is informed."""
+"""Tests of requests that arrive before the configuration is loaded."""
 
 import pytest
 
@@ -7,7 +7,7 @@
 
 
 class FakeExchange:
-    """A request of a caller who may leave."""
+    """A request whose caller may disconnect."""
 
     def __init__(self):
         self.on_gone = None
@@ -16,17 +16,17 @@
         function(self)
 
 
-class World:
-    """A waiting room and what was served."""
+class QueueHarness:
+    """A queue, its timers, and the requests that it served."""
 
     def __init__(self):
         self.timers = ManualTimers()
         self.served = []
-        self.early = EarlyRequests(self.timers, self.served.append, 60)
+        self.queue = EarlyRequests(self.timers, self.served.append, 60)
 
     def take(self):
         exchange = FakeExchange()
-        self.early.take(exchange)
+        self.queue.take(exchange)
         return exchange
 
 
@@ -41,16 +41,16 @@
         (['take'], 0),
     ],
 )
-def test_requests_wait_for_a_short_time(steps, served):
-    world = World()
+def test_requests_wait_until_loaded_or_timed_out(steps, served):
+    harness = QueueHarness()
     latest = None
     for step in steps:
         if step == 'take':
-            latest = world.take()
+            latest = harness.take()
         elif step == 'inform':
-            world.early.note_informed()
+            harness.queue.note_informed()
         elif step == 'leave':
             latest.on_gone()
         else:
-            world.timers.advance(100)
-    assert len(world.served) == served
+            harness.timers.advance(100)
+    assert len(harness.served) == served
