--- a/crankchute/adapters/engine_http.py
+++ b/crankchute/adapters/engine_http.py
@@ -1,4 +1,4 @@
-"""Model engines over HTTP: the adapter of EnginePort."""
+"""The adapter of EnginePort, which calls model engines over HTTP."""
 
 from http import HTTPStatus
 
@@ -15,7 +15,7 @@
 
 
 class StreamSink(ResponseSink):
-    """Turns the events of a stream into frames for a listener."""
+    """Converts the events of a response stream into frames."""
 
     __slots__ = ('_body', '_listener', '_reader', '_status', 'call')
 
@@ -43,32 +43,32 @@
         try:
             documents = self._reader.feed(chunk)
         except orjson.JSONDecodeError as exc:
-            self._break_off(f'malformed event: {exc}')
+            self._abort(f'malformed event: {exc}')
             return
         for document in documents:
             self._listener.on_frame(read_frame(document))
 
     def on_done(self):
-        """See ResponseSink; a whole stream ended by its mark before this."""
+        """See ResponseSink; a complete stream has ended before this."""
         if self._status == HTTPStatus.OK:
-            text = 'the stream ended without its mark'
-            self._listener.on_failed(BackendError(text, sent=True, cut=True))
+            message = 'the stream ended without its mark'
+            self._listener.on_failed(BackendError(message, sent=True, cut=True))
         elif self._status == HTTPStatus.CONFLICT:
-            refusal = orjson.loads(b''.join(self._body))
-            retry_after_ms = refusal['retry_after_ms']
-            self._listener.on_refused(refusal['code'], retry_after_ms)
+            error = orjson.loads(b''.join(self._body))
+            retry_after_ms = error['retry_after_ms']
+            self._listener.on_refused(error['code'], retry_after_ms)
         else:
-            text = f'the engine answered {self._status}'
-            self._listener.on_failed(BackendError(text, sent=True))
+            message = f'the engine answered {self._status}'
+            self._listener.on_failed(BackendError(message, sent=True))
 
     def on_error(self, exc):
         """See ResponseSink."""
         self._listener.on_failed(exc)
 
-    def _break_off(self, text):
+    def _abort(self, message):
         if self.call is not None:
             self.call.cancel()
-        self._listener.on_failed(BackendError(text, sent=True))
+        self._listener.on_failed(BackendError(message, sent=True))
 
 
 class HttpEngines(EnginePort):
@@ -138,7 +138,7 @@
             'deadline_ms': order.deadline_ms,
         }
 
-        def take(status, body):
+        def on_response(status, body):
             if status != HTTPStatus.OK:
                 on_done(None)
                 return
@@ -147,7 +147,7 @@
             export = SegmentExport(address, order.group, order.index, carry)
             on_done(export)
 
-        sink = WholeResponse(take, lambda _exc: on_done(None))
+        sink = WholeResponse(on_response, lambda _exc: on_done(None))
         return self._post(backend, '/v1/segments', document, sink)
 
     def _post(self, backend, path, document, sink):
@@ -158,10 +158,10 @@
 
 
 def read_frame(document):
-    """Return the Frame that an engine's event holds.
+    """Return the Frame in an event of an engine.
 
     Args:
-      document: A map; what is missing makes a frame that matches nothing.
+      document: A map; missing fields yield a frame that matches no attempt.
     """
     return Frame(
         document.get('id'),
