--- a/crankchute/adapters/forward_journal.py
+++ b/crankchute/adapters/forward_journal.py
@@ -1,24 +1,24 @@
-"""The log lines of forwarding: a line for each decision about a request."""
+"""Structured logging of the decisions about forwarded requests."""
 
 from crankchute.adapters.log import log_change
 from crankchute.core.outcomes import Outcome
 
 
 class ForwardJournal:
-    """Logs requests with what decided them, and how old that was."""
+    """Logs each decision with its inputs and their age."""
 
     def __init__(self, holder, clock):
-        """Create the journal.
+        """Create the logger.
 
         Args:
-          holder: The ForwardConfigHolder whose version decides.
+          holder: The ForwardConfigHolder whose configuration is in force.
           clock: A Clock.
         """
         self._holder = holder
         self._clock = clock
 
     def log_request(self, job):
-        """Log that a request is taken.
+        """Log that a request is accepted.
 
         Args:
           job: A ForwardJob.
@@ -40,7 +40,7 @@
         )
 
     def log_refused(self, request_id, refusal):
-        """Log that a request is refused before it is a job.
+        """Log that a request is refused before a job is created for it.
 
         Args:
           request_id: The caller's id, or None.
@@ -62,7 +62,7 @@
         Args:
           flow: The ForwardFlow.
           attempt: The Attempt.
-          cause: Why it is sent again, or None for the first time.
+          cause: Why the request is retried, or None for the first attempt.
         """
         placement = attempt.placement
         beliefs = placement.beliefs
@@ -86,7 +86,7 @@
         Args:
           flow: The ForwardFlow.
           attempt: The Attempt.
-          cause: The status of the answer, "cancelled", or what failed.
+          cause: The status of the response, "cancelled", or the error.
         """
         placement = attempt.placement
         log_change(
@@ -97,7 +97,7 @@
             number=flow.attempts,
             cause=cause,
             after_ms=_round(flow.now_ms() - attempt.sent_ms),
-            first_ms=_round(_since(attempt.first_ms, attempt.sent_ms)),
+            first_ms=_round(_elapsed_ms(attempt.first_ms, attempt.sent_ms)),
             predicted_ms=_round(placement.first_ms),
             longest_gap_ms=_round(attempt.longest_gap_ms),
             events=flow.passed,
@@ -108,8 +108,8 @@
 
         Args:
           backend: The Backend.
-          fingerprints: Those of the requests of this instance that it worked
-            on.
+          fingerprints: The fingerprints of the requests of this instance that
+            the server was processing.
         """
         log_change(
             'server_crashed',
@@ -119,7 +119,7 @@
         )
 
     def log_notice(self, backend, notice):
-        """Log what a server said of itself in an answer.
+        """Log the state that a server reported in a response.
 
         Args:
           backend: The Backend.
@@ -135,13 +135,13 @@
         )
 
     def log_set_aside(self, request_id, helpers, refused, took_ms):
-        """Log that engines were asked to set memory aside.
+        """Log that engines were asked to reserve memory.
 
         Args:
           request_id: The request's id.
           helpers: The Helpers with tickets.
-          refused: Those among them that set nothing aside.
-          took_ms: Milliseconds until the last of them was known.
+          refused: The Helpers that reserved nothing.
+          took_ms: Milliseconds until the last result was known.
         """
         log_change(
             'memory_set_aside',
@@ -154,10 +154,10 @@
         )
 
     def log_order_unanswered(self, name, request_id, helper):
-        """Log that an engine left an order about memory unanswered.
+        """Log that an engine did not answer a request about memory.
 
         Args:
-          name: The order's name.
+          name: The name of the request to the engine.
           request_id: The id of the request that the memory is for.
           helper: The Helper with its ticket.
         """
@@ -171,12 +171,12 @@
         )
 
     def log_released(self, request_id, helper, tries):
-        """Log that memory must be free: released for sure, or lapsed.
+        """Log that reserved memory is free: released or expired.
 
         Args:
           request_id: The id of the request that the memory was for.
           helper: The Helper with its ticket.
-          tries: How often its engine was asked.
+          tries: How many release requests were sent to its engine.
         """
         log_change(
             'memory_released',
@@ -192,7 +192,7 @@
         Args:
           flow: The ForwardFlow.
           outcome: An Outcome.
-          code: A short identifier of how it ended.
+          code: A short identifier of the result.
         """
         log_change(
             'request_end',
@@ -214,16 +214,16 @@
 
 
 def write_fingerprint(fingerprint):
-    """Return a request's fingerprint as logs and pages show it.
+    """Return a fingerprint as hexadecimal text for logs and pages.
 
     Args:
-      fingerprint: An int of 64 bits.
+      fingerprint: A 64-bit int.
     """
     return f'{fingerprint:016x}'
 
 
-def _since(moment_ms, start_ms):
-    return None if moment_ms is None else moment_ms - start_ms
+def _elapsed_ms(end_ms, start_ms):
+    return None if end_ms is None else end_ms - start_ms
 
 
 def _round(number):
