--- a/crankchute/adapters/forward_server.py
+++ b/crankchute/adapters/forward_server.py
@@ -1,8 +1,8 @@
-"""An HTTP server that hands requests over as they came.
+"""An HTTP server that passes requests on unmodified.
 
-The web library rewrites targets, headers and bodies, so a request that must
-reach a backend server unchanged is read by the checks of `http_intake` alone,
-and its answer is framed here.
+circuits.web rewrites targets, headers and bodies.  Requests that must reach a
+backend server unchanged therefore bypass it: the adapters' own request parser
+reads them, and this module frames the responses.
 """
 
 import socket
@@ -18,25 +18,25 @@
 from crankchute.adapters.sockets import DirectServer, set_tcp_options
 from crankchute.errors import RequestRefused
 
-_SWEEP_MS = 500
-#: How many bytes of a next request are kept while one is being answered.
-_PENDING_BYTES = 65_536
+_TIMEOUT_CHECK_MS = 500
+#: Limit on the bytes buffered of a next request while one is being answered.
+_MAX_PENDING_BYTES = 65_536
 _JSON_TYPE = 'application/json'
-_NO_BODY = frozenset((204, 304))
+_NO_BODY_STATUSES = frozenset((204, 304))
 _HEAD = 'HEAD'
 
 
 class ForwardExchange:
-    """One request, whole and as it came, and the answer being given to it.
+    """A complete, unmodified request and the response to it.
 
     Attributes:
       method: The method, a string.
       target: Path and query as sent, a string.
       headers: Pairs of name and value, strings.
       body: Bytes.
-      arrived_ms: When its first bytes came, on this process's clock.
-      on_gone: Called if the caller closes its connection before the end.
-      started: Whether the head of an answer was sent, a bool.
+      arrived_ms: When its first bytes arrived, on this process's clock.
+      on_gone: Called if the caller disconnects before the response ends.
+      started: Whether the head of a response was sent, a bool.
     """
 
     __slots__ = (
@@ -54,12 +54,12 @@
     )
 
     def __init__(self, server, sock, intake):
-        """Take a whole request from an intake.
+        """Take a complete request from its parser.
 
         Args:
           server: The ForwardServer.
           sock: The caller's socket.
-          intake: An Intake whose request is done.
+          intake: An Intake whose request is complete.
         """
         self._server = server
         self._sock = sock
@@ -77,15 +77,15 @@
         self.started = False
 
     def serve(self, function):
-        """Let a function answer, and give an end whatever it raises.
+        """Call a request handler and answer any exception that it raises.
 
         Args:
-          function: A function of this exchange; it may raise RequestRefused.
+          function: Called with this exchange; may raise RequestRefused.
         """
         try:
             function(self)
         except RequestRefused as refusal:
-            _reply_refused(self, refusal)
+            _reply_refusal(self, refusal)
         except Exception as exc:
             log_change(
                 'internal_error',
@@ -110,34 +110,34 @@
         return None
 
     def reply(self, status, body, headers=()):
-        """Send a whole answer.
+        """Send a complete response.
 
         Args:
           status: The HTTP status, an int.
           body: Bytes.
           headers: Pairs of name and text.
         """
-        if status in _NO_BODY:
+        if status in _NO_BODY_STATUSES:
             body = b''
         length = ('Content-Length', str(len(body)))
         head = self._render_head(status, [*headers, length])
-        shown = b'' if self.method == _HEAD else body
-        self._server.write(self._sock, head + shown)
-        self._end()
+        visible_body = b'' if self.method == _HEAD else body
+        self._server.write(self._sock, head + visible_body)
+        self._end_exchange()
 
     def reply_json(self, status, document, headers=()):
-        """Send a whole answer that is a JSON document.
+        """Send a complete response with a JSON document.
 
         Args:
           status: The HTTP status, an int.
-          document: What orjson can write.
+          document: An object that orjson can serialize.
           headers: Pairs of name and text.
         """
         headers = [('Content-Type', _JSON_TYPE), *headers]
         self.reply(status, orjson.dumps(document), headers)
 
     def start(self, status, headers):
-        """Send the head of an answer whose body follows in chunks.
+        """Send the head of a response with a chunked body.
 
         Args:
           status: The HTTP status, an int.
@@ -149,7 +149,7 @@
         self._server.write(self._sock, head)
 
     def send(self, chunk):
-        """Send a part of the body.
+        """Send a chunk of the body.
 
         Args:
           chunk: Bytes, not empty.
@@ -160,21 +160,21 @@
     def finish(self):
         """End the body."""
         self._server.write(self._sock, b'0\r\n\r\n')
-        self._end()
+        self._end_exchange()
 
     def abort(self):
-        """Close the connection, so that the answer cannot look whole."""
+        """Close the connection, so that the response is seen as incomplete."""
         self.on_gone = None
         self._server.drop(self._sock)
 
-    def _end(self):
+    def _end_exchange(self):
         self.on_gone = None
         self._server.end_exchange(self._sock, closes=self._closes)
 
     def _render_head(self, status, headers):
         self.started = True
         self._closes = self._closes or self._server.is_closing
-        lines = [f'HTTP/1.1 {status} {_phrase(status)}']
+        lines = [f'HTTP/1.1 {status} {_reason_phrase(status)}']
         lines.extend(f'{name}: {text}' for name, text in headers)
         if self._closes:
             lines.append('Connection: close')
@@ -183,7 +183,7 @@
 
 
 class _Connection:
-    """What is known of one caller's connection."""
+    """The state of a caller's connection."""
 
     __slots__ = ('exchange', 'idle_since_ms', 'intake', 'pending')
 
@@ -195,12 +195,12 @@
 
 
 class ForwardServer(DirectServer):
-    """Receives requests and hands each, whole, to one function.
+    """Receives requests and passes each complete one to a handler.
 
     Attributes:
-      is_closing: Whether answers ask callers to open a new connection.
+      is_closing: Whether responses carry `Connection: close`.
       limits: The IntakeLimits of new connections.
-      idle_ms: How long a connection may rest, in milliseconds.
+      idle_ms: How long a connection may be idle, in milliseconds.
     """
 
     def __init__(self, bind, on_request, timers, *, channel, idle_ms):
@@ -208,11 +208,11 @@
 
         Args:
           bind: A pair of IP number and port, or a listening socket.
-          on_request: A function of a ForwardExchange; it may raise
+          on_request: Called with a ForwardExchange; may raise
             RequestRefused.
           timers: A TimerService.
           channel: A name that is unique in the process.
-          idle_ms: How long a connection may rest, in milliseconds.
+          idle_ms: How long a connection may be idle, in milliseconds.
         """
         super().__init__(bind, channel=channel)
         self._on_request = on_request
@@ -221,11 +221,11 @@
         self.idle_ms = idle_ms
         self.is_closing = False
         self.limits = DEFAULT_LIMITS
-        timers.every(_SWEEP_MS, self._sweep)
+        timers.every(_TIMEOUT_CHECK_MS, self._check_timeouts)
 
     @property
     def open_exchanges(self):
-        """How many requests are being answered, an int."""
+        """The number of requests being answered, an int."""
         return sum(
             connection.exchange is not None
             for connection in self._connections.values()
@@ -236,7 +236,7 @@
 
         Args:
           sock: A caller's socket.
-          closes: Whether the answer said that the connection ends.
+          closes: Whether the response announced that the connection closes.
         """
         connection = self._connections.get(sock)
         if connection is None:
@@ -251,7 +251,7 @@
         pending = connection.pending
         connection.pending = b''
         if pending:
-            self._take(sock, connection, pending)
+            self._feed(sock, connection, pending)
 
     def drop(self, sock):
         """Close a caller's connection at once."""
@@ -259,7 +259,7 @@
         self._close(sock)
 
     def _read(self, sock):
-        """Read without the event that the library's server would fire."""
+        """Read without the event that the base class fires."""
         if sock not in self._clients:
             return
         try:
@@ -273,43 +273,43 @@
             return
         connection = self._connections.get(sock)
         if connection is None:
-            connection = self._open(sock)
+            connection = self._open_connection(sock)
         if connection.exchange is None:
-            self._take(sock, connection, chunk)
+            self._feed(sock, connection, chunk)
         else:
-            self._keep(sock, connection, chunk)
+            self._buffer_pending(sock, connection, chunk)
 
-    def _open(self, sock):
+    def _open_connection(self, sock):
         set_tcp_options(sock)
         intake = Intake(self.limits, lambda reply: self.write(sock, reply))
         connection = _Connection(intake, self._clock.now_ms())
         self._connections[sock] = connection
         return connection
 
-    def _keep(self, sock, connection, chunk):
+    def _buffer_pending(self, sock, connection, chunk):
         connection.pending += chunk
-        if len(connection.pending) > _PENDING_BYTES:
-            self._note_gone(sock)
+        if len(connection.pending) > _MAX_PENDING_BYTES:
+            self._notify_gone(sock)
             self._close(sock)
 
-    def _take(self, sock, connection, chunk):
+    def _feed(self, sock, connection, chunk):
         intake = connection.intake
         try:
             intake.feed(chunk, self._clock.now_ms())
         except RequestRefused as refusal:
-            self._refuse_raw(sock, refusal)
+            self._reject(sock, refusal)
             return
-        if intake.done and _has_left(sock):
-            # Read late, by a loop that was busy or a process that stood
-            # still; nothing of it may reach a server any more.
+        if intake.done and _is_closed_by_caller(sock):
+            # The caller disconnected while the loop was blocked or the process
+            # was suspended, so the request must not reach a server.
             self.drop(sock)
         elif intake.done:
             exchange = ForwardExchange(self, sock, intake)
             connection.exchange = exchange
             exchange.serve(self._on_request)
 
-    def _refuse_raw(self, sock, refusal):
-        """Answer bytes that are no request, and close."""
+    def _reject(self, sock, refusal):
+        """Answer a malformed or late request, and close the connection."""
         self._connections.pop(sock, None)
         lines = (
             f'HTTP/1.1 {int(refusal.status)} {refusal.status.phrase}',
@@ -321,10 +321,10 @@
         self.close(sock)
 
     @handler('disconnect')
-    def _on_caller_gone(self, sock):
-        self._note_gone(sock)
+    def _on_disconnected(self, sock):
+        self._notify_gone(sock)
 
-    def _note_gone(self, sock):
+    def _notify_gone(self, sock):
         connection = self._connections.pop(sock, None)
         exchange = None if connection is None else connection.exchange
         if exchange is not None and exchange.on_gone is not None:
@@ -332,29 +332,29 @@
             exchange.on_gone = None
             on_gone()
 
-    def _sweep(self):
+    def _check_timeouts(self):
         now_ms = self._clock.now_ms()
         for sock, connection in tuple(self._connections.items()):
             if connection.exchange is None:
-                self._check_pace(sock, connection, now_ms)
+                self._check_timeout(sock, connection, now_ms)
 
-    def _check_pace(self, sock, connection, now_ms):
+    def _check_timeout(self, sock, connection, now_ms):
         intake = connection.intake
         if intake.started_ms is None:
             if now_ms - connection.idle_since_ms > self.idle_ms:
                 self.drop(sock)
             return
         try:
-            intake.check_pace(now_ms)
+            intake.check_timeout(now_ms)
         except RequestRefused as refusal:
-            self._refuse_raw(sock, refusal)
+            self._reject(sock, refusal)
 
 
-def _has_left(sock):
-    """Tell whether a caller closed its connection behind its request.
+def _is_closed_by_caller(sock):
+    """Tell whether a caller closed its connection after its request.
 
     Args:
-      sock: A socket from which all but the newest bytes were read.
+      sock: A socket whose received request has been read.
     """
     try:
         return not sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
@@ -364,7 +364,7 @@
         return True
 
 
-def _reply_refused(exchange, refusal):
+def _reply_refusal(exchange, refusal):
     headers = []
     if refusal.retry_after_ms is not None:
         headers.append(write_retry_after(refusal.retry_after_ms))
@@ -373,17 +373,17 @@
 
 
 def write_retry_after(retry_after_ms):
-    """Return the header that says when to come back.
+    """Return a Retry-After header.
 
     Args:
       retry_after_ms: Milliseconds.
     Returns:
-      A pair of name and text, in seconds with fractions.
+      A pair of name and text; the text is in seconds with three decimals.
     """
     return 'Retry-After', f'{retry_after_ms / 1000:.3f}'  # noqa: WPS432
 
 
-def _phrase(status):
+def _reason_phrase(status):
     with suppress(ValueError):
         return HTTPStatus(status).phrase
     return 'Unknown'
--- a/crankchute/adapters/forward_server_test.py
+++ b/crankchute/adapters/forward_server_test.py
@@ -1,7 +1,4 @@
-"""Tests of requests that must be handed over as they came, and of bad ones.
-
-Everything goes over loopback sockets on one loop; nothing is timed.
-"""
+"""Tests of the forwarding HTTP server, over loopback sockets on one loop."""
 
 import socket
 import struct
@@ -19,12 +16,12 @@
     head_ms=5000,
     body_rate=1,
 )
-_MANY = b'GET / HTTP/1.1\r\nHost: a\r\n%b' % (b'X: 1234567\r\n' * 300)
+_OVERSIZED_HEAD = b'GET / HTTP/1.1\r\nHost: a\r\n%b' % (b'X: 1234567\r\n' * 300)
 _OK = b'GET /ok HTTP/1.1\r\nHost: a\r\n\r\n'
 
 
-class World:
-    """A server whose answers a test decides, and raw connections to it."""
+class ServerHarness:
+    """A server with a configurable request handler, and raw connections."""
 
     def __init__(self, answer):
         self.loop = Loop()
@@ -45,7 +42,7 @@
         return sock
 
     def read(self, sock, until=b'', *, to_end=False):
-        """Return what came until it holds some bytes or ends."""
+        """Receive until the given bytes arrive or the connection ends."""
         parts = []
 
         def is_done():
@@ -63,12 +60,12 @@
         self.loop.run_until(is_done, 0.001)
         return b''.join(parts)
 
-    def ask(self, payload, *, to_end=False):
+    def request(self, payload, *, to_end=False):
         sock = self.connect()
         sock.sendall(payload)
-        seen = self.read(sock, b'\r\n\r\n', to_end=to_end)
+        received = self.read(sock, b'\r\n\r\n', to_end=to_end)
         sock.close()
-        return seen
+        return received
 
     def _on_request(self, exchange):
         self.exchanges.append(exchange)
@@ -99,14 +96,14 @@
         ),
     ],
 )
-def test_requests_are_handed_over_as_they_came(payload, method, target, body):
-    world = World(reply_ok)
-    seen = world.ask(payload)
-    exchange = world.exchanges[0]
+def test_requests_reach_the_handler_unmodified(payload, method, target, body):
+    harness = ServerHarness(reply_ok)
+    received = harness.request(payload)
+    exchange = harness.exchanges[0]
     assert (exchange.method, exchange.target) == (method, target)
     assert exchange.body == body
-    assert seen.startswith(b'HTTP/1.1 200 OK\r\nX-Kept: As Sent\r\n')
-    assert seen.endswith(b'fine')
+    assert received.startswith(b'HTTP/1.1 200 OK\r\nX-Kept: As Sent\r\n')
+    assert received.endswith(b'fine')
 
 
 @pytest.mark.parametrize(
@@ -132,89 +129,89 @@
             400,
         ),
         (b'GET / HTTP/1.1\r\nHost: a\r\nX Y: 1\r\n\r\n', 400),
-        (_MANY, 431),
+        (_OVERSIZED_HEAD, 431),
         (b'POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1001\r\n\r\n', 413),
         (_OK * 2, 400),
     ],
 )
-def test_bad_input_is_refused_and_the_connection_closed(payload, status):
-    world = World(reply_ok)
-    seen = world.ask(payload, to_end=True)
-    assert seen.startswith(b'HTTP/1.1 %d' % status)
-    assert b'Connection: close' in seen
-    assert not world.exchanges
+def test_invalid_request_is_refused_and_the_connection_closed(payload, status):
+    harness = ServerHarness(reply_ok)
+    received = harness.request(payload, to_end=True)
+    assert received.startswith(b'HTTP/1.1 %d' % status)
+    assert b'Connection: close' in received
+    assert not harness.exchanges
 
 
-def test_connection_serves_one_request_after_the_other():
-    world = World(reply_ok)
-    sock = world.connect()
+def test_connection_serves_several_requests():
+    harness = ServerHarness(reply_ok)
+    sock = harness.connect()
     for _ in range(3):
         sock.sendall(_OK)
-        assert world.read(sock, b'fine').endswith(b'fine')
-    assert len(world.exchanges) == 3
+        assert harness.read(sock, b'fine').endswith(b'fine')
+    assert len(harness.exchanges) == 3
     sock.close()
 
 
-def test_next_request_waits_for_the_answer_before():
-    world = World(lambda _exchange: None)
-    sock = world.connect()
+def test_next_request_waits_for_the_current_response():
+    harness = ServerHarness(lambda _exchange: None)
+    sock = harness.connect()
     sock.sendall(_OK)
-    world.loop.run_until(lambda: len(world.exchanges) == 1, 0.001)
+    harness.loop.run_until(lambda: len(harness.exchanges) == 1, 0.001)
     sock.sendall(_OK)
-    world.answer = reply_ok
+    harness.answer = reply_ok
     for _ in range(20):
-        world.loop.tick(0.001)
-    assert len(world.exchanges) == 1
-    reply_ok(world.exchanges[0])
-    world.loop.run_until(lambda: len(world.exchanges) == 2, 0.001)
+        harness.loop.tick(0.001)
+    assert len(harness.exchanges) == 1
+    reply_ok(harness.exchanges[0])
+    harness.loop.run_until(lambda: len(harness.exchanges) == 2, 0.001)
     sock.close()
 
 
-def test_stream_is_chunked_and_a_broken_one_does_not_look_whole():
-    world = World(lambda exchange: None)
-    sock = world.connect()
+def test_stream_is_chunked_and_aborting_it_leaves_it_incomplete():
+    harness = ServerHarness(lambda exchange: None)
+    sock = harness.connect()
     sock.sendall(_OK)
-    world.loop.run_until(lambda: bool(world.exchanges), 0.001)
-    exchange = world.exchanges[0]
+    harness.loop.run_until(lambda: bool(harness.exchanges), 0.001)
+    exchange = harness.exchanges[0]
     exchange.start(200, [('Content-Type', 'text/event-stream')])
     exchange.send(b'id: 1\n\n')
-    assert world.read(sock, b'id: 1\n\n').endswith(b'7\r\nid: 1\n\n\r\n')
+    assert harness.read(sock, b'id: 1\n\n').endswith(b'7\r\nid: 1\n\n\r\n')
     exchange.abort()
-    assert not world.read(sock, to_end=True)
+    assert not harness.read(sock, to_end=True)
     sock.close()
 
 
-def test_caller_that_closes_is_noticed():
-    gone = []
-    world = World(lambda _exchange: None)
-    sock = world.connect()
+def test_disconnect_of_the_caller_is_reported():
+    disconnects = []
+    harness = ServerHarness(lambda _exchange: None)
+    sock = harness.connect()
     sock.sendall(_OK)
-    world.loop.run_until(lambda: bool(world.exchanges), 0.001)
-    world.exchanges[0].on_gone = lambda: gone.append(1)
+    harness.loop.run_until(lambda: bool(harness.exchanges), 0.001)
+    harness.exchanges[0].on_gone = lambda: disconnects.append(1)
     sock.close()
-    world.loop.run_until(lambda: bool(gone), 0.001)
-    assert world.server.open_exchanges == 0
+    harness.loop.run_until(lambda: bool(disconnects), 0.001)
+    assert harness.server.open_exchanges == 0
 
 
-@pytest.mark.parametrize('ask_close', [False, True])
-def test_closing_is_announced(ask_close):
-    world = World(reply_ok)
-    world.server.is_closing = not ask_close
+@pytest.mark.parametrize('caller_asks', [False, True])
+def test_closing_is_announced_by_header(caller_asks):
+    harness = ServerHarness(reply_ok)
+    harness.server.is_closing = not caller_asks
     payload = _OK
-    if ask_close:
+    if caller_asks:
         payload = b'GET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n'
-    assert b'Connection: close' in world.ask(payload, to_end=True)
+    assert b'Connection: close' in harness.request(payload, to_end=True)
 
 
-def test_fault_of_a_handler_ends_the_request():
+def test_exception_in_a_handler_yields_an_error_response():
     def fail(_exchange):
         raise ZeroDivisionError
 
-    world = World(fail)
-    assert world.ask(_OK).startswith(b'HTTP/1.1 500')
+    harness = ServerHarness(fail)
+    assert harness.request(_OK).startswith(b'HTTP/1.1 500')
 
 
-def close_at_once(sock):
+def disconnect(sock):
     sock.close()
 
 
@@ -224,29 +221,29 @@
     sock.close()
 
 
-@pytest.mark.parametrize('leave', [close_at_once, reset])
+@pytest.mark.parametrize('end_connection', [disconnect, reset])
 @pytest.mark.parametrize('requests', [1, 2])
-def test_request_of_a_caller_that_left_is_not_handed_over(leave, requests):
-    """A process that stood still finds the request and its end together."""
-    world = World(reply_ok)
-    sock = world.connect()
+def test_request_of_a_disconnected_caller_is_dropped(end_connection, requests):
+    """A resumed process finds the request and the disconnect together."""
+    harness = ServerHarness(reply_ok)
+    sock = harness.connect()
     sock.sendall(_OK)
     if requests == 2:
-        world.read(sock, b'fine')
+        harness.read(sock, b'fine')
         sock.sendall(_OK)
-    leave(sock)
-    seen = len(world.exchanges)
-    other = world.connect()
+    end_connection(sock)
+    exchanges_before = len(harness.exchanges)
+    other = harness.connect()
     other.sendall(_OK)
-    world.read(other, b'fine')
+    harness.read(other, b'fine')
     other.close()
-    assert len(world.exchanges) == seen + 1
+    assert len(harness.exchanges) == exchanges_before + 1
 
 
-def test_caller_that_is_only_silent_is_served():
-    world = World(reply_ok)
-    sock = world.connect()
+def test_silent_caller_is_served():
+    harness = ServerHarness(reply_ok)
+    sock = harness.connect()
     sock.sendall(_OK)
-    assert b'fine' in world.read(sock, b'fine')
-    assert len(world.exchanges) == 1
+    assert b'fine' in harness.read(sock, b'fine')
+    assert len(harness.exchanges) == 1
     sock.close()
--- a/crankchute/adapters/http_intake.py
+++ b/crankchute/adapters/http_intake.py
@@ -1,8 +1,8 @@
-"""Checks on what a caller sends, before the web library sees it.
+"""Parsing and validation of incoming requests.
 
-The web library has no bound on headers, bodies or the time a sender takes, and
-answers bad input with a page.  Every connection is followed here with a
-library's parser, and input out of bounds gets a typed refusal.
+circuits.web limits neither headers nor bodies nor the time that a sender takes,
+and answers bad input with an HTML page.  Here every connection is parsed with
+httptools, and a request beyond the limits raises RequestRefused.
 """
 
 from http import HTTPStatus
@@ -12,25 +12,25 @@
 from crankchute.errors import RequestRefused
 
 _CONTINUE = b'HTTP/1.1 100 Continue\r\n\r\n'
-_HEAD_BYTES = 32_768
-_BODY_BYTES = 8_388_608
-_HEAD_MS = 5000
-_BYTES_PER_MS = 64
+_MAX_HEAD_BYTES = 32_768
+_MAX_BODY_BYTES = 8_388_608
+_HEAD_TIMEOUT_MS = 5000
+_MIN_BODY_BYTES_PER_MS = 64
 
 
 class IntakeLimits:
-    """The bounds on one incoming request."""
+    """The limits on an incoming request."""
 
     __slots__ = ('body_bytes', 'body_rate', 'head_bytes', 'head_ms')
 
     def __init__(self, *, head_bytes, body_bytes, head_ms, body_rate):
-        """Create the bounds.
+        """Create the limits.
 
         Args:
           head_bytes: The largest request line and headers, in bytes.
           body_bytes: The largest body, in bytes.
-          head_ms: Milliseconds in which the headers must arrive.
-          body_rate: The slowest body accepted, in bytes a millisecond.
+          head_ms: How long the headers may take to arrive, in milliseconds.
+          body_rate: The slowest transfer of a body, in bytes a millisecond.
         """
         self.head_bytes = head_bytes
         self.body_bytes = body_bytes
@@ -39,20 +39,20 @@
 
 
 DEFAULT_LIMITS = IntakeLimits(
-    head_bytes=_HEAD_BYTES,
-    body_bytes=_BODY_BYTES,
-    head_ms=_HEAD_MS,
-    body_rate=_BYTES_PER_MS,
+    head_bytes=_MAX_HEAD_BYTES,
+    body_bytes=_MAX_BODY_BYTES,
+    head_ms=_HEAD_TIMEOUT_MS,
+    body_rate=_MIN_BODY_BYTES_PER_MS,
 )
 
 
 class Intake:
-    """What is known of the request that is arriving on one connection.
+    """The request that is being received on a connection.
 
     Attributes:
-      done: Whether the request is whole, a bool.
-      keeps_alive: Whether the caller keeps its connection afterwards.
-      started_ms: When its first bytes came, or None.
+      done: Whether the request is complete, a bool.
+      keeps_alive: Whether the connection persists after the response.
+      started_ms: When its first bytes arrived, or None.
       target: The request's target as sent, bytes.
       headers: Pairs of name and value as sent, bytes.
       parts: The parts of the body, a list of bytes.
@@ -88,7 +88,7 @@
         self.reset()
 
     def reset(self):
-        """Get ready for the next request of the connection."""
+        """Prepare for the next request of the connection."""
         self._parser = httptools.HttpRequestParser(self)
         self._size = 0
         self._body_size = 0
@@ -109,13 +109,13 @@
         return self._parser.get_method().decode('latin-1')
 
     def feed(self, chunk, now_ms):
-        """Take bytes from the connection.
+        """Parse bytes from the connection.
 
         Args:
-          chunk: Bytes as they came.
+          chunk: The received bytes.
           now_ms: The time in milliseconds.
         Raises:
-          RequestRefused: If the request is malformed or out of bounds.
+          RequestRefused: If the request is malformed or exceeds a limit.
         """
         if self.started_ms is None:
             self.started_ms = now_ms
@@ -125,7 +125,7 @@
         except httptools.HttpParserUpgrade as exc:
             raise _bad_request('protocols are not changed here') from exc
         except httptools.HttpParserCallbackError as exc:
-            self._raise_cause(exc)
+            self._raise_callback_error(exc)
         except httptools.HttpParserError as exc:
             raise _bad_request(str(exc)) from exc
         if not self._head_done and self._size > self._limits.head_bytes:
@@ -133,8 +133,8 @@
         if self._message_count > 1:
             raise _bad_request('pipelined requests are not supported')
 
-    def check_pace(self, now_ms):
-        """Refuse a sender that takes too long.
+    def check_timeout(self, now_ms):
+        """Refuse a request that takes too long to arrive.
 
         Args:
           now_ms: The time in milliseconds.
@@ -153,7 +153,7 @@
             )
 
     def on_message_begin(self):
-        """Parser callback: a request line starts."""
+        """Parser callback: the start of a request."""
         self._message_count += 1
 
     def on_url(self, part):
@@ -165,7 +165,7 @@
         self.target += part
 
     def on_header(self, name, text):
-        """Parser callback: one header.
+        """Parser callback: a header.
 
         Args:
           name: The header's name, bytes.
@@ -177,16 +177,16 @@
         self.headers.append((name, text))
         key = name.lower()
         if key == b'content-length' and text.isdigit():
-            self._check_body(int(text))
+            self._check_body_size(int(text))
         elif key == b'expect' and text.lower() == b'100-continue':
             self._reply(_CONTINUE)
         elif key == b'host':
             self._has_host = True
 
     def on_headers_complete(self):
-        """Parser callback: all headers are here."""
+        """Parser callback: the end of the headers."""
         self._head_done = True
-        # Once the message is whole the parser no longer tells.
+        # The parser gives no valid result after the end of the message.
         self.keeps_alive = self._parser.should_keep_alive()
         if not self._has_host:
             raise _bad_request('the Host header is missing')
@@ -198,14 +198,14 @@
           chunk: Bytes.
         """
         self._body_size += len(chunk)
-        self._check_body(self._body_size)
+        self._check_body_size(self._body_size)
         self.parts.append(chunk)
 
     def on_message_complete(self):
-        """Parser callback: the request is whole."""
+        """Parser callback: the end of the request."""
         self.done = True
 
-    def _check_body(self, size):
+    def _check_body_size(self, size):
         if size > self._limits.body_bytes:
             raise RequestRefused(
                 HTTPStatus.REQUEST_ENTITY_TOO_LARGE,
@@ -213,7 +213,7 @@
                 'the body is too large',
             )
 
-    def _raise_cause(self, exc):
+    def _raise_callback_error(self, exc):
         if isinstance(exc.__context__, RequestRefused):
             raise exc.__context__
         raise _bad_request(str(exc)) from exc
--- a/crankchute/adapters/http_server.py
+++ b/crankchute/adapters/http_server.py
@@ -1,8 +1,8 @@
-"""The HTTP server side, on circuits.web, with streams written at once.
+"""An HTTP server on circuits.web that writes streams without delay.
 
-The web library streams a generator by one chunk per pass of its poller.  A
-stream is therefore written to the socket as it comes, with the framing of the
-library's response object, and the library is told only of its end.
+circuits.web sends one chunk of a generator per iteration of its poller.  Streams
+are therefore written to the socket directly, with the framing of the library's
+response object, and the library only handles their end.
 """
 
 from contextlib import suppress
@@ -21,24 +21,24 @@
 from crankchute.errors import RequestRefused
 
 JSON_TYPE = 'application/json'
-_SWEEP_MS = 500
-_LINGER_MS = 500
+_TIMEOUT_CHECK_MS = 500
+_CLOSE_DELAY_MS = 500
 _RETRY_AFTER = 'Retry-After'
 _CRLF = b'\r\n'
 
 
 class Exchange:
-    """One request of a caller and the answer that is being given to it."""
+    """A request and the response to it."""
 
     __slots__ = ('_req', '_res', '_server', 'body', 'on_gone', 'started')
 
     def __init__(self, server, req, res):
-        """Wrap the library's pair of request and response.
+        """Wrap a request and response of circuits.web.
 
         Args:
           server: The HttpServer that received the request.
-          req: The library's request.
-          res: The library's response.
+          req: The request object of circuits.web.
+          res: The response object of circuits.web.
         """
         self._server = server
         self._req = req
@@ -72,18 +72,18 @@
 
         Args:
           name: The header's name in any case.
-          default: What to return if there is none.
+          default: The value to return if there is none.
         Returns:
           A string or the default.
         """
         return self._req.headers.get(name, default)
 
     def reply(self, status, body, content_type=JSON_TYPE, headers=()):
-        """Send a whole answer.
+        """Send a complete response.
 
         Args:
           status: The HTTP status, an int.
-          body: Bytes, or a map that is written as JSON.
+          body: Bytes, or a map that is serialized as JSON.
           content_type: The body's media type.
           headers: Pairs of name and text.
         """
@@ -100,7 +100,7 @@
         self.finish()
 
     def refuse(self, refusal):
-        """Send a refusal as a typed body.
+        """Send a refusal as a JSON error.
 
         Args:
           refusal: A RequestRefused.
@@ -113,7 +113,7 @@
         self.reply(refusal.status, body, headers=headers)
 
     def start_stream(self, content_type, headers=()):
-        """Send the head of an answer whose body follows in parts.
+        """Send the head of a response with a streamed body.
 
         Args:
           content_type: The body's media type.
@@ -132,7 +132,7 @@
         self._write(bytes(res) + bytes(res.headers))
 
     def send(self, chunk):
-        """Send a part of a streamed body.
+        """Send a chunk of a streamed body.
 
         Args:
           chunk: Bytes, not empty.
@@ -161,7 +161,7 @@
 
 
 class HttpServer(BaseComponent):
-    """Receives requests and hands them, checked, to one function."""
+    """Receives requests and passes the valid ones to a handler."""
 
     channel = 'web'
     secure = False
@@ -172,7 +172,7 @@
 
         Args:
           bind: A pair of IP number and port.
-          on_request: A function of an Exchange; it may raise RequestRefused.
+          on_request: Called with an Exchange; may raise RequestRefused.
           timers: A TimerService.
           options: `channel`, a name that is unique in the process, and
             `limits`, an IntakeLimits.
@@ -187,7 +187,7 @@
         self._clock = timers.clock
         self.server = DirectServer(bind, channel=self.channel).register(self)
         self.http = HTTP(self, channel=self.channel).register(self)
-        timers.every(_SWEEP_MS, self._sweep)
+        timers.every(_TIMEOUT_CHECK_MS, self._check_timeouts)
 
     @property
     def host(self):
@@ -201,7 +201,7 @@
 
     @property
     def open_exchanges(self):
-        """How many requests are being answered, an int."""
+        """The number of requests being answered, an int."""
         return len(self._exchanges)
 
     def is_open(self, sock):
@@ -242,7 +242,7 @@
             intake.feed(chunk, self._clock.now_ms())
         except RequestRefused as refusal:
             event.stop()
-            self._refuse_raw(sock, refusal)
+            self._reject(sock, refusal)
 
     @handler('request', priority=1)
     def _on_web_request(self, event, req, res):
@@ -254,8 +254,8 @@
         except RequestRefused as refusal:
             exchange.refuse(refusal)
         except Exception as exc:
-            # Whatever went wrong, the caller gets an end and the connection
-            # does not count as busy for ever.
+            # Without a response the caller would wait for ever, and the
+            # connection would stay busy.
             log_change('internal_error', error=repr(exc), path=exchange.path)
             _reply_internal_error(exchange)
         return True
@@ -270,7 +270,7 @@
 
     @handler('connect', 'closed', 'error', 'ready')
     def _on_ignored(self, *_args):
-        """Take the library's events that need no action."""
+        """Handle events of circuits.web that need no action."""
 
     def _new_intake(self, sock):
         intake = Intake(
@@ -280,15 +280,15 @@
         self._intakes[sock] = intake
         return intake
 
-    def _sweep(self):
+    def _check_timeouts(self):
         now_ms = self._clock.now_ms()
         for sock, intake in tuple(self._intakes.items()):
             try:
-                intake.check_pace(now_ms)
+                intake.check_timeout(now_ms)
             except RequestRefused as refusal:
-                self._refuse_raw(sock, refusal)
+                self._reject(sock, refusal)
 
-    def _refuse_raw(self, sock, refusal):
+    def _reject(self, sock, refusal):
         body = orjson.dumps(refusal_body(refusal))
         head = (
             f'HTTP/1.1 {int(refusal.status)} {refusal.status.phrase}\r\n'
@@ -299,11 +299,11 @@
         self.write_now(sock, head.encode() + body)
         self._intakes.pop(sock, None)
         self._discarding.add(sock)
-        self._close_later(sock)
+        self._close_delayed(sock)
 
-    def _close_later(self, sock):
-        """Close later: closing at once would reset the reply on its way."""
-        self._timers.after(_LINGER_MS, lambda: self.fire(close(sock)))
+    def _close_delayed(self, sock):
+        """Close after a delay, since closing at once may discard the reply."""
+        self._timers.after(_CLOSE_DELAY_MS, lambda: self.fire(close(sock)))
         with suppress(OSError):
             sock.shutdown(SHUT_WR)
 
@@ -322,12 +322,12 @@
 
 
 def refusal_body(refusal):
-    """Return the typed body of a refusal.
+    """Return the JSON error of a refusal.
 
     Args:
       refusal: A RequestRefused.
     Returns:
-      A map in the form that callers of completion interfaces know.
+      A map in the error format of completion APIs.
     """
     return {
         'error': {
