--- a/crankchute/adapters/http_client.py
+++ b/crankchute/adapters/http_client.py
@@ -1,4 +1,4 @@
-"""The HTTP client side: streamed responses over the connection hub."""
+"""An HTTP client with streamed responses and reused connections."""
 
 from errno import ECONNREFUSED
 from functools import partial
@@ -11,23 +11,23 @@
 from crankchute.errors import BackendError
 
 _NO_BODY_STATUSES = frozenset((204, 304))
-_CLOSED = 'the connection was closed'
-#: How long to wait for word whether anybody listens, in milliseconds: the first
-#: packet may be lost, and is sent again after a second.
-_LISTENING_MS = 1500
+_CONNECTION_CLOSED = 'the connection was closed'
+#: Time limit of a connection probe, in milliseconds.  A lost SYN is sent again
+#: after one second.
+_PROBE_TIMEOUT_MS = 1500
 
 
 class CallOptions:
-    """How one call uses connections.
+    """Connection options of a call.
 
     Attributes:
-      fresh: Whether a connection of its own must be opened, so that a
-        connection closed by the other side cannot be mistaken for a request
-        that arrived, a bool.
+      fresh: Whether to open a new connection, a bool.  On a reused one that
+        the server has closed, a request that never arrived cannot be told from
+        one that did.
       idle_ms: The longest time that a reused connection may have been idle,
         in milliseconds, or None.
-      connect_ms: How long opening a connection may take, or None for as long
-        as the system allows.
+      connect_ms: Time limit for opening a connection, in milliseconds, or None
+        for the limit of the system.
     """
 
     __slots__ = ('connect_ms', 'fresh', 'idle_ms')
@@ -49,12 +49,12 @@
 
 
 class HttpCall:
-    """One request on its way, and the parser of its response.
+    """A request that was sent and the parser of its response.
 
     Attributes:
-      status: The response's status, or None before it came.
+      status: The response's status, or None before it arrives.
       headers: The response's headers, names in lower case.
-      raw_headers: The headers as they came, pairs of bytes.
+      raw_headers: The headers as received, pairs of bytes.
     """
 
     __slots__ = (
@@ -100,16 +100,16 @@
 
     @property
     def address(self):
-        """The pair of IP number and port that is called."""
+        """The server's pair of IP number and port."""
         return self._address
 
     @property
     def sent(self):
-        """Whether bytes of the request may have left, a bool."""
+        """Whether bytes of the request may have been sent, a bool."""
         return self._sent
 
     def start(self, sock, exc):
-        """Send the request on a connection, or fail if there is none.
+        """Send the request on a connection, or fail without one.
 
         Args:
           sock: A connected socket, or None.
@@ -128,10 +128,10 @@
             self._payload = b''
 
     def receive(self, chunk):
-        """Take bytes of the response.
+        """Parse bytes of the response.
 
         Args:
-          chunk: Bytes as they came.
+          chunk: The received bytes.
         """
         try:
             self._parser.feed_data(chunk)
@@ -141,21 +141,21 @@
             self.fail(f'malformed response: {exc}')
 
     def receive_end(self, *, broken):
-        """Take the end of the connection.
+        """Handle the end of the connection.
 
-        A body without a length is whole only when its connection ended in an
-        orderly way.
+        A body without a length is complete only if the server closed the
+        connection without an error.
 
         Args:
-          broken: Whether the connection ended by an error.
+          broken: Whether the connection ended with an error.
         """
         if self._until_close and not broken:
             self._complete(keep=False)
         else:
-            self.fail(_CLOSED, cut=True)
+            self.fail(_CONNECTION_CLOSED, cut=True)
 
     def cancel(self):
-        """Give the call up and close its connection; the sink hears nothing."""
+        """Cancel the call and close its connection without calling the sink."""
         if not self._finished:
             self._finished = True
             self._client.detach(self, keep=False)
@@ -164,8 +164,8 @@
         """End the call with an error.
 
         Args:
-          text: What happened.
-          cut: Whether the other side, or the network, ended the connection.
+          text: The error message.
+          cut: Whether the server or the network ended the connection.
         """
         if not self._finished:
             self._finished = True
@@ -173,17 +173,17 @@
             self._sink.on_error(BackendError(text, sent=self._sent, cut=cut))
 
     def on_message_begin(self):
-        """Parser callback: a response starts; a second one is one too many."""
+        """Parser callback: a response starts; a second one is an error."""
         if self._finished:
             self._client.discard(self.sock)
 
     def on_header(self, name, text):
-        """Parser callback: one header."""
+        """Parser callback: a header."""
         self.raw_headers.append((name, text))
         self.headers[name.lower().decode('latin-1')] = text.decode('latin-1')
 
     def on_headers_complete(self):
-        """Parser callback: the head is whole."""
+        """Parser callback: the end of the headers."""
         if self._finished:
             return
         self.status = self._parser.get_status_code()
@@ -204,7 +204,7 @@
             self._sink.on_body(chunk)
 
     def on_message_complete(self):
-        """Parser callback: the response is whole."""
+        """Parser callback: the end of the response."""
         if self.status >= 200:  # noqa: WPS432  (informational responses)
             self._complete(keep=self._parser.should_keep_alive())
 
@@ -216,21 +216,21 @@
 
 
 class HttpClient(BaseComponent):
-    """Sends requests and keeps idle connections for the next ones.
+    """Sends requests and reuses idle connections.
 
     Attributes:
-      opened: How many connections were opened, an int.
+      opened: The number of connections opened, an int.
     """
 
     channel = 'hub'
 
     def __init__(self, channel='hub', timers=None):
-        """Create the client with its own hub of connections.
+        """Create the client and its ConnectionHub.
 
         Args:
           channel: A name that is unique in the process.
-          timers: A TimerService; without one, the limits on time of
-            CallOptions are not kept.
+          timers: A TimerService; without one, the time limits of
+            CallOptions are not enforced.
         """
         super().__init__(channel=channel)
         self.hub = ConnectionHub(channel, self._on_bytes).register(self)
@@ -263,38 +263,38 @@
         if options.connect_ms is not None and self._timers is not None:
             self._timers.after(
                 options.connect_ms,
-                partial(self._check_connected, call),
+                partial(self._on_connect_timeout, call),
             )
         return call
 
     def ask_listening(self, address, on_known):
-        """Find out whether anybody listens at an address.
+        """Probe whether a process listens at an address.
 
         Args:
           address: A pair of IP number and port.
-          on_known: A function of True, of False if the connection is refused,
-            or of None if that is not known in time.
+          on_known: Called with True, with False if the connection is refused,
+            or with None if neither is known in time.
         """
-        guard = None
+        timeout = None
 
-        def take(sock, exc):
-            if guard is not None:
-                guard.cancel()
+        def on_connected(sock, exc):
+            if timeout is not None:
+                timeout.cancel()
             if sock is not None:
                 self.hub.abort(sock)
-            on_known(_tell_listening(exc))
+            on_known(_interpret_connect_result(exc))
 
-        connecting = self.hub.connect_to(*address, take)
+        connecting = self.hub.connect_to(*address, on_connected)
 
-        def give_up():
-            if self.hub.give_up_connect(connecting):
+        def on_timeout():
+            if self.hub.cancel_connect(connecting):
                 on_known(None)
 
         if connecting is not None and self._timers is not None:
-            guard = self._timers.after(_LISTENING_MS, give_up)
+            timeout = self._timers.after(_PROBE_TIMEOUT_MS, on_timeout)
 
     def has_idle(self, address, idle_ms=None):
-        """Tell whether a connection is open that a call could use.
+        """Tell whether a call could reuse an idle connection.
 
         Args:
           address: A pair of IP number and port.
@@ -303,35 +303,35 @@
         return self._idle.has(address, idle_ms)
 
     def rests_at(self, address):
-        """Tell whether any connection to an address is open and rests.
+        """Tell whether any idle connection to an address is open.
 
         Args:
           address: A pair of IP number and port.
         """
-        return self._idle.rests_at(address)
+        return self._idle.has_any(address)
 
     def close_idle(self, address):
-        """Close all connections to an address that rest.
+        """Close all idle connections to an address.
 
         Args:
           address: A pair of IP number and port.
         """
-        for sock in self._idle.list_at(address):
+        for sock in self._idle.list_sockets(address):
             self.discard(sock)
 
     def attach(self, call):
-        """Route the bytes of a call's connection to it."""
+        """Route the bytes received on a call's connection to the call."""
         self._calls[call.sock] = call
 
     def detach(self, call, *, keep):
-        """Free a call's connection.
+        """Release a call's connection.
 
         Args:
           call: An HttpCall that ended.
-          keep: Whether the connection may serve another call.
+          keep: Whether the connection may be reused.
         """
         if call.connecting is not None:
-            self.hub.give_up_connect(call.connecting)
+            self.hub.cancel_connect(call.connecting)
             call.connecting = None
         sock = call.sock
         if self._calls.pop(sock, None) is None:
@@ -341,7 +341,7 @@
             self.hub.abort(sock)
 
     def discard(self, sock):
-        """Close a connection that nobody wants any more."""
+        """Close a connection that is no longer needed."""
         if sock is not None:
             self._idle.remove(sock)
             self.hub.abort(sock)
@@ -349,22 +349,22 @@
     def _now_ms(self):
         return 0 if self._timers is None else self._timers.clock.now_ms()
 
-    def _check_connected(self, call):
+    def _on_connect_timeout(self, call):
         sock = call.connecting
-        if sock is not None and self.hub.give_up_connect(sock):
+        if sock is not None and self.hub.cancel_connect(sock):
             call.start(None, 'it took too long')
 
     def _on_bytes(self, sock, chunk):
         call = self._calls.get(sock)
         if call is None:
-            # Nothing was asked on this connection, so the bytes are nobody's.
+            # Bytes on an idle connection belong to no response.
             self.discard(sock)
         else:
             call.receive(chunk)
 
     @handler('disconnect')
     def _on_disconnect(self, sock):
-        broken = self.hub.take_broken(sock)
+        broken = self.hub.pop_broken(sock)
         call = self._calls.pop(sock, None)
         if call is None:
             self._idle.remove(sock)
@@ -373,14 +373,14 @@
 
     @handler('error')
     def _on_error(self, *_args):
-        """Take socket errors; the disconnect that follows is what counts."""
+        """Ignore socket errors, since a disconnect event follows each."""
 
 
-def _tell_listening(exc):
-    """Return what the end of opening a connection tells.
+def _interpret_connect_result(exc):
+    """Return what the result of a connection attempt shows.
 
     Args:
-      exc: An OSError, or None if it was opened.
+      exc: An OSError, or None if the connection was opened.
     Returns:
       True, False or None; see HttpClient.ask_listening.
     """
@@ -397,7 +397,7 @@
       address: A pair of IP number and port.
       path: The path with its query.
       body: Bytes.
-      headers: Pairs of name and text; a Host among them replaces the usual.
+      headers: Pairs of name and text; a Host header replaces the default.
     Returns:
       Bytes.
     """
--- a/crankchute/adapters/http_test.py
+++ b/crankchute/adapters/http_test.py
@@ -1,4 +1,4 @@
-"""Tests of the HTTP adapters on one loop, over loopback sockets."""
+"""Tests of the HTTP client, server and platform watch over loopback sockets."""
 
 from http import HTTPStatus
 
@@ -15,7 +15,7 @@
 
 
 class _Source:
-    """Takes what a watch offers."""
+    """Records the changes that a watch offers."""
 
     def __init__(self):
         self.seen_revision = 0
@@ -26,8 +26,8 @@
         self.seen_revision = changes.revision
 
 
-class _Bench:
-    """A loop with a server, whose answers a test decides, and a client."""
+class _Harness:
+    """A loop with a client and a server with a configurable handler."""
 
     def __init__(self, answer):
         self.loop = Loop()
@@ -39,82 +39,84 @@
         self.client = HttpClient().register(self.loop)
         self.address = (_LOOPBACK, self.server.port)
 
-    def ask(self, path='/'):
-        """Return the status and body of an answer, or the error."""
-        ends = []
+    def get(self, path='/'):
+        """Return the status and body of a response, or the error."""
+        outcomes = []
         sink = WholeResponse(
-            lambda status, body: ends.append((status, body)),
-            ends.append,
+            lambda status, body: outcomes.append((status, body)),
+            outcomes.append,
         )
         payload = build_request('GET', self.address, path)
         self.client.send(self.address, payload, sink)
-        self.loop.run_until(lambda: bool(ends))
-        return ends[0]
+        self.loop.run_until(lambda: bool(outcomes))
+        return outcomes[0]
 
 
 def _fail(_exchange):
     raise ZeroDivisionError
 
 
-def test_fault_of_a_handler_ends_the_request():
-    """The caller gets an unknown outcome, and nothing stays open."""
-    bench = _Bench(_fail)
-    status, body = bench.ask()
+def test_exception_in_a_handler_yields_an_error_response():
+    """The caller gets an unknown outcome, and no exchange stays open."""
+    harness = _Harness(_fail)
+    status, body = harness.get()
     assert status == HTTPStatus.INTERNAL_SERVER_ERROR
     assert b'"unknown"' in body
-    assert not bench.server.open_exchanges
-    assert bench.ask()[0] == HTTPStatus.INTERNAL_SERVER_ERROR
+    assert not harness.server.open_exchanges
+    assert harness.get()[0] == HTTPStatus.INTERNAL_SERVER_ERROR
 
 
-def test_refused_connection_proves_that_nothing_was_sent():
-    """The error says that no byte left."""
-    bench = _Bench(_fail)
-    bench.address = (_LOOPBACK, 1)
-    assert bench.ask().sent is False
+def test_refused_connection_reports_that_nothing_was_sent():
+    """The error says that no byte was sent."""
+    harness = _Harness(_fail)
+    harness.address = (_LOOPBACK, 1)
+    assert harness.get().sent is False
 
 
-def test_lost_answer_does_not():
-    """A connection that is closed after the request may have arrived."""
-    bench = _Bench(lambda exchange: exchange.abort())
-    lost = bench.ask()
-    assert lost.sent is True
-    assert lost.cut
+def test_aborted_response_reports_that_the_request_was_sent():
+    """The connection is closed after the request was sent."""
+    harness = _Harness(lambda exchange: exchange.abort())
+    error = harness.get()
+    assert error.sent is True
+    assert error.cut
 
 
 @pytest.mark.parametrize('is_listening', [True, False])
-def test_who_listens_at_an_address(is_listening):
-    """A process that has ended listens no more; nothing is sent to find out."""
-    bench = _Bench(_fail)
+def test_probe_tells_whether_a_process_listens(is_listening):
+    """The probe connects without sending a request."""
+    harness = _Harness(_fail)
     if not is_listening:
-        bench.address = (_LOOPBACK, 1)
-    known = []
-    bench.client.ask_listening(bench.address, known.append)
-    bench.loop.run_until(lambda: bool(known))
-    assert known == [is_listening]
-    assert not bench.server.open_exchanges
-
-
-def test_nobody_says_whether_anybody_listens(monkeypatch):
-    """The network answers nothing at all."""
-    bench = _Bench(_fail)
-    client = HttpClient('other', timers=bench.loop.timers).register(bench.loop)
-    given_up = []
+        harness.address = (_LOOPBACK, 1)
+    outcomes = []
+    harness.client.ask_listening(harness.address, outcomes.append)
+    harness.loop.run_until(lambda: bool(outcomes))
+    assert outcomes == [is_listening]
+    assert not harness.server.open_exchanges
+
+
+def test_probe_of_an_unresponsive_network_times_out(monkeypatch):
+    """The network drops the connection attempt."""
+    harness = _Harness(_fail)
+    client = HttpClient('other', timers=harness.loop.timers).register(
+        harness.loop
+    )
+    cancelled = []
 
     def connect_to(_host, _port, _on_done):
         return 'socket'
 
-    def give_up(sock):
-        given_up.append(sock)
+    def cancel_connect(sock):
+        cancelled.append(sock)
         return True
 
     monkeypatch.setattr(client.hub, 'connect_to', connect_to)
-    monkeypatch.setattr(client.hub, 'give_up_connect', give_up)
-    monkeypatch.setattr('crankchute.adapters.http_client._LISTENING_MS', 5)
-    known = []
-    client.ask_listening(bench.address, known.append)
-    bench.loop.run_until(lambda: bool(known))
-    assert known == [None]
-    assert given_up == ['socket']
+    monkeypatch.setattr(client.hub, 'cancel_connect', cancel_connect)
+    monkeypatch.setattr('crankchute.adapters.http_client._PROBE_TIMEOUT_MS', 5)
+    outcomes = []
+    client.ask_listening(harness.address, outcomes.append)
+    harness.loop.run_until(lambda: bool(outcomes))
+    assert outcomes == [None]
+    assert cancelled == ['socket']
 
 
 @pytest.mark.parametrize(
@@ -126,39 +128,39 @@
         b'{"since": 0, "revision": 3, "entries": {"models": 5}}',
     ],
 )
-def test_watch_survives_a_bad_answer(body):
-    """What the platform says wrongly is asked again, not lost."""
+def test_watch_retries_after_an_invalid_response(body):
+    """After an invalid response, the watch reads again."""
     answers = [body, b'{"since": 0, "revision": 3, "entries": {}}']
-    asked = []
+    requested = []
 
     def answer(exchange):
-        asked.append(exchange.path)
-        if len(asked) <= len(answers):
-            exchange.reply(HTTPStatus.OK, answers[len(asked) - 1])
+        requested.append(exchange.path)
+        if len(requested) <= len(answers):
+            exchange.reply(HTTPStatus.OK, answers[len(requested) - 1])
 
-    bench = _Bench(answer)
+    harness = _Harness(answer)
     source = _Source()
     watch = PlatformWatch(
-        bench.client,
-        bench.loop.timers,
-        bench.address,
+        harness.client,
+        harness.loop.timers,
+        harness.address,
         'config',
     )
     watch.switch_on(source)
-    bench.loop.run_until(lambda: bool(source.offered))
+    harness.loop.run_until(lambda: bool(source.offered))
     assert isinstance(source.offered[0], ChangeSet)
     assert source.seen_revision == 3
     assert watch.failing_since_ms is None
 
 
-def test_resting_connections_to_a_server_that_is_no_more_are_closed():
-    """The next call opens one of its own."""
-    bench = _Bench(_fail)
-    first = bench.ask()
-    assert bench.ask() == first
-    assert bench.client.opened == 1
-    assert bench.client.rests_at(bench.address)
-    bench.client.close_idle(bench.address)
-    assert not bench.client.rests_at(bench.address)
-    assert bench.ask() == first
-    assert bench.client.opened == 2
+def test_idle_connections_to_a_stopped_server_are_closed():
+    """The next call opens a new connection."""
+    harness = _Harness(_fail)
+    first = harness.get()
+    assert harness.get() == first
+    assert harness.client.opened == 1
+    assert harness.client.rests_at(harness.address)
+    harness.client.close_idle(harness.address)
+    assert not harness.client.rests_at(harness.address)
+    assert harness.get() == first
+    assert harness.client.opened == 2
--- a/crankchute/adapters/idle_connections.py
+++ b/crankchute/adapters/idle_connections.py
@@ -1,18 +1,18 @@
-"""Open connections that wait for their next request."""
+"""A pool of idle connections for reuse."""
 
 import re
 from collections import OrderedDict, defaultdict
 
-_PER_ADDRESS = 32
+_MAX_PER_ADDRESS = 32
 _KEEP_ALIVE_TIMEOUT = re.compile(r'timeout=(\d+)')
 _MS_PER_SECOND = 1000
-#: A connection is left alone this long before the other side said that it
-#: would close it, so that a request does not cross the close.
-_MARGIN_MS = 900
+#: A connection is not reused within this time, in milliseconds, before the
+#: announced end of its keep-alive, so that no request races with the close.
+_CLOSE_MARGIN_MS = 900
 
 
-class _Idle:
-    """When a connection became idle and how long it may stay so."""
+class _IdleEntry:
+    """When a connection became idle and its keep-alive limit."""
 
     __slots__ = ('allowed_ms', 'since_ms')
 
@@ -28,13 +28,13 @@
 
 
 class IdleConnections:
-    """Idle sockets by address; the one used last is taken first."""
+    """Idle sockets by address; the one used most recently is reused first."""
 
     def __init__(self, is_open, now_ms):
-        """Create without connections.
+        """Create an empty pool.
 
         Args:
-          is_open: A function of a socket, whether it is still connected.
+          is_open: A function that tells whether a socket is connected.
           now_ms: A function that returns the time in milliseconds.
         """
         self._is_open = is_open
@@ -43,25 +43,25 @@
         self._addresses = {}
 
     def add(self, address, sock, headers):
-        """Keep a connection whose response is whole.
+        """Add a connection whose response is complete.
 
         Args:
           address: A pair of IP number and port.
           sock: A connected socket.
           headers: The response's headers, names in lower case.
         Returns:
-          False if there are enough, and the connection must be closed.
+          False if the pool is full and the connection must be closed.
         """
         idle = self._by_address[address]
-        if len(idle) >= _PER_ADDRESS:
+        if len(idle) >= _MAX_PER_ADDRESS:
             return False
         allowed_ms = _read_allowed_ms(headers.get('keep-alive'))
-        idle[sock] = _Idle(self._now_ms(), allowed_ms)
+        idle[sock] = _IdleEntry(self._now_ms(), allowed_ms)
         self._addresses[sock] = address
         return True
 
     def remove(self, sock):
-        """Forget a connection that was closed."""
+        """Remove a connection that was closed."""
         address = self._addresses.pop(sock, None)
         if address is not None:
             self._by_address[address].pop(sock, None)
@@ -74,16 +74,16 @@
             for sock, one in self._by_address[address].items()
         )
 
-    def rests_at(self, address):
-        """Tell whether any connection to an address is kept."""
+    def has_any(self, address):
+        """Tell whether any connection to an address is in the pool."""
         return bool(self._by_address.get(address))
 
-    def list_at(self, address):
-        """Return the sockets to an address that are kept, a list."""
+    def list_sockets(self, address):
+        """Return the pooled sockets to an address, a list."""
         return list(self._by_address.get(address, ()))
 
     def take(self, address, idle_ms=None):
-        """Take out a connection that may be used.
+        """Remove and return a usable connection.
 
         Args:
           address: A pair of IP number and port.
@@ -103,9 +103,9 @@
 
 
 def _read_allowed_ms(text):
-    """Return how long a connection may be idle by its Keep-Alive header."""
+    """Return the idle limit of a Keep-Alive header, or None."""
     found = _KEEP_ALIVE_TIMEOUT.search(text or '')
     if found is None:
         return None
     seconds = int(found.group(1))
-    return max(seconds * _MS_PER_SECOND - _MARGIN_MS, 0)
+    return max(seconds * _MS_PER_SECOND - _CLOSE_MARGIN_MS, 0)
--- a/crankchute/adapters/poller.py
+++ b/crankchute/adapters/poller.py
@@ -8,7 +8,7 @@
 from circuits.core.pollers import EPoll
 
 
-class FdSet(set):  # noqa: WPS600  (the library calls list methods on it)
+class FdSet(set):  # noqa: WPS600  (circuits calls list methods on it)
     """A set that answers to the two list methods the poller calls."""
 
     def append(self, fd):
--- a/crankchute/adapters/sockets.py
+++ b/crankchute/adapters/sockets.py
@@ -1,9 +1,9 @@
-"""Socket components that write at once and hold many outgoing connections.
+"""Socket components with direct writes and shared outgoing connections.
 
-The library sends every write through three events and two system calls on the
-poller.  A write is tried directly here and goes that way only when the socket
-is full.  The outgoing side is one component for all connections, because
-registering a component per connection empties the library's handler cache.
+circuits passes every write through three events and two system calls on the
+poller.  Here a write goes to the socket directly, and to the poller only when
+the socket's buffer is full.  One component holds all outgoing connections, since
+registering a component for each would clear the handler cache of circuits.
 """
 
 import errno
@@ -17,37 +17,37 @@
 
 _IN_PROGRESS = frozenset((errno.EINPROGRESS, errno.EWOULDBLOCK))
 _READ_SIZE = 65536
-#: How long bytes may stay unacknowledged, in milliseconds.  A cut network or a
-#: machine without power says nothing, so this is what ends such connections.
-_USER_TIMEOUT_MS = 4000
-#: The same for connections to servers.  Memory that other servers hold for a
-#: request must be free four seconds after the one that used it died, so the
-#: death has to be noticed well before.
+#: TCP_USER_TIMEOUT in milliseconds: how long sent bytes may stay unacknowledged
+#: before the connection is closed, as after a network partition.
+_DEFAULT_TIMEOUT_MS = 4000
+#: The same for connections to servers.  Memory that other servers reserve for a
+#: request must be free four seconds after the server that uses it fails, so the
+#: failure must be detected earlier.
 _SERVER_TIMEOUT_MS = 2500
-#: A server that owes nothing but an answer is probed from this many seconds of
-#: silence on, and so often; its host answers while it has power.
-_PROBE_S = 1
-#: This many unanswered probes end the connection.
-_PROBES = 2
+#: TCP keep-alive: idle time before the first probe and interval between probes,
+#: in seconds.
+_KEEPALIVE_S = 1
+#: Number of unanswered keep-alive probes that close the connection.
+_KEEPALIVE_PROBES = 2
 
 
 class DirectServer(TCPServer):
-    """A TCP server whose writes go to the socket without an event."""
+    """A TCP server that writes to the socket without an event."""
 
     def __init__(self, bind, **options):
         """Listen on an address.
 
         Args:
           bind: A pair of IP number and port.
-          options: Options of the library's server.
+          options: Options of TCPServer.
         """
         options['bufsize'] = _READ_SIZE
         super().__init__(bind, **options)
         self._clients = FdSet()
 
     @handler('write')
-    def write(self, sock, data):  # noqa: WPS110  (the library's keyword)
-        """Send bytes, or keep what the socket does not take.
+    def write(self, sock, data):  # noqa: WPS110  (keyword of circuits)
+        """Send bytes, buffering those that the socket does not accept.
 
         Args:
           sock: A connected socket of this server.
@@ -64,11 +64,11 @@
 
     @property
     def has_unsent(self):
-        """Whether bytes wait for a caller that reads slowly, a bool."""
+        """Whether bytes are buffered for any caller, a bool."""
         return any(self._buffers.values())
 
     def is_open(self, sock):
-        """Tell whether a socket is still connected here.
+        """Tell whether a socket is connected to this server.
 
         Args:
           sock: A socket.
@@ -78,7 +78,7 @@
         return sock in self._clients
 
     def stop_listening(self):
-        """Close the listening socket and keep the open connections."""
+        """Close the listening socket but not the open connections."""
         if self._sock is not None:
             self._poller.discard(self._sock)
             self._sock.close()
@@ -86,10 +86,10 @@
 
     @handler('close')
     def close(self, sock=None):
-        """Close one socket after its buffer is sent, or all of them.
+        """Close a socket, or all of them, after sending buffered bytes.
 
         Args:
-          sock: A connected socket; None closes the listening socket too.
+          sock: A connected socket; None for all and the listening socket.
         """
         if sock is not None:
             super().close(sock)
@@ -112,18 +112,18 @@
 class ConnectionHub(DirectServer):
     """All outgoing connections of a process, in one component.
 
-    Sockets that are still connecting are watched for writing; the socket's
-    own error tells whether the connection was refused.
+    A connecting socket becomes writable when the attempt ends; SO_ERROR then
+    tells whether it failed.
     """
 
     channel = 'hub'
 
     def __init__(self, channel, receive):
-        """Create the hub without any connection.
+        """Create the hub without connections.
 
         Args:
           channel: A name that is unique in the process.
-          receive: A function of a socket and the bytes that came on it.
+          receive: Called with a socket and the bytes received on it.
         """
         super().__init__(None, channel=channel)
         self._connecting = {}
@@ -131,7 +131,7 @@
         self._broken = set()
 
     def parse_bind_parameter(self, bind):
-        """Accept that there is no address to listen on."""
+        """Return the address unchanged, since nothing is listened on."""
         return bind
 
     def connect_to(self, host, port, on_done):
@@ -140,8 +140,8 @@
         Args:
           host: An IP number.
           port: A port number.
-          on_done: Called once with the socket and None, or None and an
-            OSError when nothing was sent.
+          on_done: Called once with the socket and None, or with None and an
+            OSError.
         Returns:
           The socket, or None if the connection failed at once.
         """
@@ -149,7 +149,7 @@
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setblocking(False)
         set_tcp_options(sock, _SERVER_TIMEOUT_MS)
-        probe_when_silent(sock)
+        enable_keepalive(sock)
         code = sock.connect_ex((host, port))
         if code and code not in _IN_PROGRESS:
             sock.close()
@@ -159,8 +159,8 @@
         self._poller.addWriter(self, sock)
         return sock
 
-    def give_up_connect(self, sock):
-        """Stop waiting for a connection; nothing is told of it any more.
+    def cancel_connect(self, sock):
+        """Cancel a connection attempt; its callback is not called.
 
         Args:
           sock: A socket that connect_to returned.
@@ -173,23 +173,23 @@
         sock.close()
         return True
 
-    def take_broken(self, sock):
-        """Tell, once, whether a closed connection ended by an error.
+    def pop_broken(self, sock):
+        """Return and clear whether a closed connection ended with an error.
 
         Args:
-          sock: A socket whose disconnect was told.
+          sock: A socket whose disconnect event was fired.
         Returns:
-          False if the other side ended it in an orderly way.
+          False if the server closed the connection in the regular way.
         """
         is_broken = sock in self._broken
         self._broken.discard(sock)
         return is_broken
 
     def abort(self, sock):
-        """Close a connection without sending what is buffered.
+        """Close a connection and discard buffered bytes.
 
         Args:
-          sock: A socket that connect_to handed out.
+          sock: A socket that connect_to provided.
         """
         self._close(sock)
 
@@ -214,7 +214,7 @@
         self._finish_connect(sock, on_done)
 
     def _read(self, sock):
-        """Hand bytes over without the event that a server would fire."""
+        """Read without the event that the base class fires."""
         if sock not in self._clients:
             return
         try:
@@ -248,24 +248,24 @@
         """Create no socket, since nothing is listened on."""
 
 
-def set_tcp_options(sock, timeout_ms=_USER_TIMEOUT_MS):
-    """Send small writes at once, and notice a peer that is gone.
+def set_tcp_options(sock, timeout_ms=_DEFAULT_TIMEOUT_MS):
+    """Disable Nagle's algorithm and set TCP_USER_TIMEOUT.
 
     Args:
       sock: A TCP socket.
-      timeout_ms: How long bytes or probes may stay unanswered.
+      timeout_ms: How long bytes or probes may stay unacknowledged.
     """
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, timeout_ms)
 
 
-def probe_when_silent(sock):
-    """Have the system probe a silent peer, so that a dead host is noticed.
+def enable_keepalive(sock):
+    """Enable TCP keep-alive, which detects a failed host.
 
     Args:
       sock: A TCP socket.
     """
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, _PROBE_S)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, _PROBE_S)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, _PROBES)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, _KEEPALIVE_S)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, _KEEPALIVE_S)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, _KEEPALIVE_PROBES)
--- a/crankchute/adapters/sockets_test.py
+++ b/crankchute/adapters/sockets_test.py
@@ -1,4 +1,4 @@
-"""Tests of what outgoing connections are set to."""
+"""Tests of the TCP options of outgoing connections."""
 
 import socket
 
@@ -13,7 +13,7 @@
 
 @pytest.fixture
 def outgoing():
-    """Give a connected outgoing socket."""
+    """Provide a connected outgoing socket."""
     loop = Loop()
     listener = socket.create_server((_LOOPBACK, 0))
     hub = ConnectionHub('hub-test', lambda sock, payload: None).register(loop)
@@ -29,8 +29,8 @@
     listener.close()
 
 
-def test_dead_host_is_noticed_before_memory_counts_as_lost(outgoing):
-    """A host without power says nothing; probes find it out in time."""
+def test_failed_host_is_detected_before_reservations_expire(outgoing):
+    """Keep-alive probes detect a silent host before its reservations expire."""
     assert outgoing.getsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE)
     idle_s, interval_s, probes, timeout_ms = (
         outgoing.getsockopt(socket.IPPROTO_TCP, option)
