--- a/crankchute/adapters/lean_start.py
+++ b/crankchute/adapters/lean_start.py
@@ -1,9 +1,8 @@
-"""A quicker start: called before anything of circuits is imported.
+"""Faster startup by skipping the import of `pkg_resources`.
 
-circuits declares its namespace through `pkg_resources`, whose import takes a
-quarter of the start of a process (docs/MEASUREMENTS.md), and does without it
-where it is missing.  A process that starts after a kill is missed by callers
-for that long.
+circuits uses `pkg_resources` only to declare a namespace package, and does
+without it if it is missing.  Importing it takes a large part of the startup,
+which delays the recovery of a process that was killed.
 """
 
 import sys
@@ -12,5 +11,5 @@
 
 
 def skip_slow_imports():
-    """Let circuits find that `pkg_resources` is missing."""
+    """Make the import of `pkg_resources` fail; call before importing circuits."""
     sys.modules.setdefault(_SLOW_MODULE, None)
