--- a/crankchute/adapters/load_poller.py
+++ b/crankchute/adapters/load_poller.py
@@ -1,4 +1,4 @@
-"""Asks the engines of a process's subset for their load and cache events."""
+"""Polling of engines for their load and cache events."""
 
 from http import HTTPStatus
 
@@ -10,22 +10,22 @@
 from crankchute.ports.http import WholeResponse
 
 _TICK_MS = 250
-_POLLS_PER_SECOND = 12
+_MAX_POLLS_PER_SECOND = 12
 _MS_PER_SECOND = 1000
-_SUBSET = 24
-_GIVE_UP_MS = 1500
+_MAX_SUBSET = 24
+_TIMEOUT_MS = 1500
 
 
 class LoadPoller:
-    """Polls a bounded subset of the engines, those of the own place first.
+    """Polls a limited subset of the engines, local ones first.
 
     Attributes:
       on_report: A function without arguments, called after each report.
-      polls: How many questions were asked, an int.
+      polls: The number of load requests sent, an int.
     """
 
     def __init__(self, client, timers, fleet, own):
-        """Start to poll.
+        """Start polling.
 
         Args:
           client: An HttpClient.
@@ -46,41 +46,42 @@
         timers.every(_TICK_MS, self.poll)
 
     def poll(self):
-        """Ask the engines of the subset whose turn it is.
+        """Send load requests to the engines that are due.
 
-        Each engine is asked four times a second, or less often if the whole
-        subset would go over the rate that control may cost.
+        Each engine is polled four times a second, or less often if the subset
+        would exceed the limit on load requests per second.
         """
         now_ms = self._timers.clock.now_ms()
         subset = self.choose_subset()
-        gap_ms = len(subset) * _MS_PER_SECOND / _POLLS_PER_SECOND
+        interval_ms = len(subset) * _MS_PER_SECOND / _MAX_POLLS_PER_SECOND
         for backend in subset:
             if now_ms >= self._due_ms.get(backend.identity, 0):
-                due_ms = now_ms + gap_ms - _TICK_MS / 2
+                due_ms = now_ms + interval_ms - _TICK_MS / 2
                 self._due_ms[backend.identity] = due_ms
-                self._ask_again(backend, now_ms)
+                self._poll_backend(backend, now_ms)
 
     def choose_subset(self):
         """Return the engines that this process may use, a list of Backend.
 
-        All engines of the own data centre up to the bound, then others; each
-        process ranks by its own id, so engines are spread evenly.
+        Engines of the local data centre come first, then others, up to the
+        limit.  Each process ranks them by a hash with its own id, which spreads
+        the processes evenly over the engines.
         """
         if self._version != self._fleet.version:
             self._version = self._fleet.version
             self._subset = self._rank_engines()
         return self._subset
 
-    def _ask_again(self, backend, now_ms):
-        asked = self._pending.get(backend.identity)
-        if asked is not None:
-            if now_ms - asked.at_ms < _GIVE_UP_MS:
+    def _poll_backend(self, backend, now_ms):
+        previous = self._pending.get(backend.identity)
+        if previous is not None:
+            if now_ms - previous.sent_ms < _TIMEOUT_MS:
                 return
-            asked.call.cancel()
-        question = _Question(now_ms)
-        self._pending[backend.identity] = question
+            previous.call.cancel()
+        load_request = _LoadRequest(now_ms)
+        self._pending[backend.identity] = load_request
         self.polls += 1
-        question.call = self._ask(backend, question)
+        load_request.call = self._send_request(backend, load_request)
 
     def _rank_engines(self):
         engines = {
@@ -89,46 +90,48 @@
             if one.listed.kind == KIND_ENGINE
         }
         ranked = rank_by_hash(self._own.identity, engines)
-        ranked.sort(key=lambda identity: self._is_far(engines[identity]))
-        return [engines[identity] for identity in ranked[:_SUBSET]]
+        ranked.sort(key=lambda identity: self._is_remote(engines[identity]))
+        return [engines[identity] for identity in ranked[:_MAX_SUBSET]]
 
-    def _is_far(self, backend):
+    def _is_remote(self, backend):
         return backend.listed.data_centre != self._own.data_centre
 
-    def _ask(self, backend, question):
+    def _send_request(self, backend, load_request):
         since = backend.prefix.sequence or 0
         address = backend.listed.address
         payload = build_request('GET', address, f'/v1/load?since={since}')
 
-        def take(status, body):
-            self._finish(backend, question)
+        def on_response(status, body):
+            self._finish(backend, load_request)
             if status == HTTPStatus.OK:
-                self._note(backend, orjson.loads(body))
+                self._record_report(backend, orjson.loads(body))
 
-        def fail(_exc):
-            self._finish(backend, question)
+        def on_error(_exc):
+            self._finish(backend, load_request)
 
-        return self._client.send(address, payload, WholeResponse(take, fail))
+        return self._client.send(
+            address, payload, WholeResponse(on_response, on_error)
+        )
 
-    def _finish(self, backend, question):
-        if self._pending.get(backend.identity) is question:
+    def _finish(self, backend, load_request):
+        if self._pending.get(backend.identity) is load_request:
             self._pending.pop(backend.identity)
 
-    def _note(self, backend, document):
+    def _record_report(self, backend, report):
         now_ms = self._timers.clock.now_ms()
-        self._fleet.note_load(backend, LoadReport(now_ms, document))
-        for sequence, stored, evicted in document['events']:
+        self._fleet.note_load(backend, LoadReport(now_ms, report))
+        for sequence, stored, evicted in report['events']:
             backend.prefix.note_event(sequence, stored, evicted, now_ms)
         backend.prefix.note_fresh(now_ms)
         if self.on_report is not None:
             self.on_report()
 
 
-class _Question:
-    """A load request on its way."""
+class _LoadRequest:
+    """A load request that awaits its response."""
 
-    __slots__ = ('at_ms', 'call')
+    __slots__ = ('call', 'sent_ms')
 
-    def __init__(self, at_ms):
-        self.at_ms = at_ms
+    def __init__(self, sent_ms):
+        self.sent_ms = sent_ms
         self.call = None
