--- a/crankchute/adapters/log.py
+++ b/crankchute/adapters/log.py
@@ -1,11 +1,10 @@
-"""Logs by eliot: JSON lines whose volume is bounded and that never block.
-
-A line says what was decided, by which inputs, and how old those were.  Each
-kind of line has a rate; what is over it is left out and counted, and a line
-a second tells the counts.  Lines of failures have a rate of their own, so
-that successes never crowd them out.  A reader that stops costs lines, not
-time: what a full pipe does not take is kept up to a bound and then dropped,
-successes first.
+"""Rate-limited, non-blocking logging of JSON lines with eliot.
+
+A line records a decision with its inputs and their age.  Each kind of line is
+rate-limited; lines beyond the limit are omitted and counted, and a summary line
+reports the counts at most once a second.  Failures have a separate limit, so
+that successes cannot displace them.  If the reader of the log falls behind,
+lines are buffered up to a limit and then dropped, successes first.
 """
 
 import fcntl
@@ -18,36 +17,34 @@
 import eliot
 import orjson
 
-#: Lines of one kind a second.  A usual instance has some tens of requests a
-#: second with three lines each; a line costs about 30 us of processor time
-#: (docs/MEASUREMENTS.md), so that this bounds a kind to half a percent.
+#: Limit on the lines of one kind per second, which bounds their processor time.
 LINES_PER_S = 200
-#: Lines of failures of one kind a second.
+#: Limit on the failure lines of one kind per second.
 FAILURES_PER_S = 400
-#: What is kept for a reader that is slow, in bytes.
+#: Size limit of the buffer for a slow reader.
 _BUFFER_BYTES = 262_144
-#: Above this only lines of failures are kept.
-_SUCCESS_BYTES = 131_072
+#: Buffer size from which on only failure lines are added.
+_SUCCESS_BUFFER_BYTES = 131_072
 _OMITTED = 'crankchute:log_omitted'
 _KIND = 'message_type'
 _FAILED = 'failed'
 
 
 class LineWriter:
-    """Writes lines to a descriptor and never waits for it.
+    """Writes lines to a file descriptor without blocking.
 
     Attributes:
-      dropped: How many lines were dropped because nobody read, an int.
+      dropped: The number of lines dropped for lack of a reader, an int.
     """
 
     def __init__(self, fd):
         """Create a writer.
 
         Args:
-          fd: A file number; a pipe or socket is set not to block.
+          fd: A file descriptor; pipes and sockets become non-blocking.
         """
         self._fd = fd
-        self._waiting = bytearray()
+        self._buffer = bytearray()
         self.dropped = 0
         mode = os.fstat(fd).st_mode
         if stat.S_ISFIFO(mode) or stat.S_ISSOCK(mode):
@@ -55,59 +52,59 @@
             fcntl.fcntl(fd, fcntl.F_SETFL, flags | os.O_NONBLOCK)
 
     def write(self, line, *, failed):
-        """Write a line, or keep it, or drop it.
+        """Write, buffer or drop a line.
 
         Args:
           line: Bytes that end with a newline.
-          failed: Whether it tells of a failure, a bool.
+          failed: Whether it reports a failure, a bool.
         """
-        allowed = _BUFFER_BYTES if failed else _SUCCESS_BYTES
-        if len(self._waiting) + len(line) > allowed:
+        allowed = _BUFFER_BYTES if failed else _SUCCESS_BUFFER_BYTES
+        if len(self._buffer) + len(line) > allowed:
             self.flush()
-        if len(self._waiting) + len(line) > allowed:
+        if len(self._buffer) + len(line) > allowed:
             self.dropped += 1
             return
-        self._waiting += line
+        self._buffer += line
         self.flush()
 
     def flush(self):
-        """Write as much of what is kept as the descriptor takes."""
+        """Write as much of the buffer as the descriptor accepts."""
         try:
-            written = os.write(self._fd, self._waiting)
+            written = os.write(self._fd, self._buffer)
         except BlockingIOError:
             return
         except OSError:
-            # Nobody can ever read it; the lines are counted as dropped.
-            self.dropped += self._waiting.count(b'\n')
-            self._waiting.clear()
+            # The reader is closed.
+            self.dropped += self._buffer.count(b'\n')
+            self._buffer.clear()
             return
-        self._waiting = self._waiting[written:]
+        self._buffer = self._buffer[written:]
 
 
-class BoundedLog:
-    """A destination of eliot that keeps each kind of line to its rate."""
+class RateLimitedLog:
+    """An eliot destination that limits the rate of each kind of line."""
 
     def __init__(self, writer, now_s=time.monotonic):
         """Create the destination.
 
         Args:
           writer: A LineWriter.
-          now_s: A function that returns a steady time in seconds.
+          now_s: A function that returns a monotonic time in seconds.
         """
         self._writer = writer
         self._now_s = now_s
         self._second = None
         self._written = Counter()
         self._omitted = Counter()
-        self._told_dropped = 0
+        self._reported_dropped = 0
 
     def __call__(self, message):
-        """Write a message, or count it as left out.
+        """Write a message, or count it as omitted.
 
         Args:
-          message: A map, as eliot hands it over.
+          message: A map, as eliot passes it.
         """
-        self._turn_second()
+        self._start_second()
         kind = message.get(_KIND, '')
         failed = bool(message.get(_FAILED))
         allowed = FAILURES_PER_S if failed else LINES_PER_S
@@ -117,16 +114,16 @@
             return
         self._write(message, failed=failed)
 
-    def _turn_second(self):
+    def _start_second(self):
         second = int(self._now_s())
         if second == self._second:
             return
         self._second = second
         self._written.clear()
-        dropped = self._writer.dropped - self._told_dropped
+        dropped = self._writer.dropped - self._reported_dropped
         if not self._omitted and not dropped:
             return
-        self._told_dropped = self._writer.dropped
+        self._reported_dropped = self._writer.dropped
         omitted = dict(self._omitted)
         self._omitted.clear()
         summary = {
@@ -146,11 +143,11 @@
     """Write logs as JSON lines.
 
     Args:
-      stream: A text stream with a file number; standard error if None.
+      stream: A text stream with a file descriptor; standard error if None.
     """
     stream = stream or sys.stderr
     stream.flush()
-    eliot.add_destinations(BoundedLog(LineWriter(stream.fileno())))
+    eliot.add_destinations(RateLimitedLog(LineWriter(stream.fileno())))
 
 
 def log_change(kind, **fields):
@@ -158,7 +155,6 @@
 
     Args:
       kind: What happened, such as "config_in_force".
-      fields: What a person would want to know, as JSON values; `failed`
-        marks a failure.
+      fields: Details as JSON values; `failed` marks a failure.
     """
     eliot.log_message(message_type=f'crankchute:{kind}', **fields)
