--- a/crankchute/adapters/loop.py
+++ b/crankchute/adapters/loop.py
@@ -1,4 +1,4 @@
-"""The one event loop of a process, with its poller, clock and timers."""
+"""The event loop of a process, with its poller, clock and timers."""
 
 from threading import current_thread
 from traceback import format_tb
@@ -16,7 +16,7 @@
 
 
 class posted(Event):  # noqa: N801  (event classes of circuits are lower case)
-    """A function that another thread asks the loop to call."""
+    """A function call that a thread requests from the loop."""
 
 
 class Loop(BaseComponent):
@@ -24,7 +24,7 @@
 
     Attributes:
       clock: The ProcessClock.
-      timers: The timer service.
+      timers: The TimerService.
     """
 
     channel = 'loop'
@@ -39,10 +39,10 @@
         self.clock = ProcessClock() if clock is None else clock
         IndexedPoller().register(self)
         self.timers = LoopTimers(self.clock).register(self)
-        self._on_signals = {}
+        self._signal_callbacks = {}
 
     def post(self, function, *args):
-        """Call a function on the loop's thread; any thread may ask.
+        """Call a function on the loop's thread; safe from any thread.
 
         Args:
           function: The function.
@@ -51,22 +51,22 @@
         self.fire(posted(function, args), self.channel)
 
     def on_signal(self, signo, callback):
-        """Call a function when the process is asked to end.
+        """Call a function on a termination signal.
 
-        The library installs the handlers of both signals when it runs.
+        circuits installs the handlers of both signals when it runs.
 
         Args:
           signo: SIGTERM or SIGINT.
           callback: A function without arguments.
         """
-        self._on_signals[signo] = callback
+        self._signal_callbacks[signo] = callback
 
     def run_until(self, is_done, tick_s=_TICK_S):
-        """Run the loop until something is done.
+        """Run the loop until a condition holds.
 
         Args:
           is_done: A function without arguments that returns a bool.
-          tick_s: The longest wait between two questions, in seconds.
+          tick_s: The longest wait between two checks, in seconds.
         """
         self._running = True
         self._executing_thread = current_thread()
@@ -90,7 +90,7 @@
 
     @handler('signal', channel='*', priority=100)
     def _on_signal(self, event, signo, _stack):
-        callback = self._on_signals.get(signo)
+        callback = self._signal_callbacks.get(signo)
         if callback is not None:
             event.stop()
             callback()
