--- a/crankchute/adapters/metrics.py
+++ b/crankchute/adapters/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics by the prometheus client, under the names of its conventions."""
+"""Metrics for Prometheus, named by its conventions."""
 
 from prometheus_client import (
     CollectorRegistry,
@@ -11,10 +11,10 @@
 from crankchute.core.job import length_band, length_bands
 from crankchute.ports.metrics import Metrics
 
-_SECONDS = (0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.6, 1, 2, 5, 10, 30, 60)
-_EARLY_SECONDS = (-1, -0.3, -0.1, -0.03)
-_LATE_SECONDS = (0, 0.03, 0.1, 0.3, 1, 3)
-_ERROR_SECONDS = (*_EARLY_SECONDS, *_LATE_SECONDS)
+_TIME_BUCKETS_S = (0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.6, 1, 2, 5, 10, 30, 60)
+_EARLY_BUCKETS_S = (-1, -0.3, -0.1, -0.03)
+_LATE_BUCKETS_S = (0, 0.03, 0.1, 0.3, 1, 3)
+_ERROR_BUCKETS_S = (*_EARLY_BUCKETS_S, *_LATE_BUCKETS_S)
 _COUNTERS = (
     ('requests_ended', 'Completions ended, by outcome.', 'outcome'),
     ('service_calls_ended', 'Plain service calls ended.', 'outcome'),
@@ -37,51 +37,51 @@
 
 
 class PrometheusMetrics(Metrics):
-    """Counts into a registry of its own.
+    """Metrics in a separate CollectorRegistry.
 
     Attributes:
       registry: The CollectorRegistry.
     """
 
     def __init__(self):
-        """Create all metrics at zero."""
+        """Create all metrics with the value zero."""
         super().__init__()
         self.registry = CollectorRegistry()
         self._counters = {
             name: self._make_counter(name, text, label)
             for name, text, label in _COUNTERS
         }
-        self._first_token = Histogram(
+        self._first_token_times = Histogram(
             'crankchute_first_token_seconds',
             'Time from arrival to the first token.',
             ['band'],
-            buckets=_SECONDS,
+            buckets=_TIME_BUCKETS_S,
             registry=self.registry,
         )
-        self._errors = Histogram(
+        self._prediction_errors = Histogram(
             'crankchute_first_event_error_seconds',
             'By how much first events came later than predicted.',
             ['band'],
-            buckets=_ERROR_SECONDS,
+            buckets=_ERROR_BUCKETS_S,
             registry=self.registry,
         )
         for band in length_bands():
-            self._first_token.labels(band)
-            self._errors.labels(band)
-        self._requests = Histogram(
+            self._first_token_times.labels(band)
+            self._prediction_errors.labels(band)
+        self._request_durations = Histogram(
             'crankchute_request_seconds',
             'Time from the arrival of a forwarded request to its end.',
             ['pool'],
-            buckets=_SECONDS,
+            buckets=_TIME_BUCKETS_S,
             registry=self.registry,
         )
 
     def add_gauge(self, name, text, function):
-        """Add a gauge that is read when metrics are asked for.
+        """Add a gauge that is evaluated when metrics are rendered.
 
         Args:
           name: The name without the project's prefix.
-          text: What it says.
+          text: The help text.
           function: A function that returns a number.
         """
         gauge = Gauge(f'crankchute_{name}', text, registry=self.registry)
@@ -98,19 +98,19 @@
     def observe_first_token(self, job, waited_ms):
         """See Metrics."""
         band = length_band(job.tokens)
-        self._first_token.labels(band).observe(waited_ms / _MS_PER_SECOND)
+        self._first_token_times.labels(band).observe(waited_ms / _MS_PER_SECOND)
 
     def observe_prediction(self, tokens, error_ms):
         """See Metrics."""
-        band = self._errors.labels(length_band(tokens))
+        band = self._prediction_errors.labels(length_band(tokens))
         band.observe(error_ms / _MS_PER_SECOND)
 
     def observe_request(self, pool, waited_ms):
         """See Metrics."""
-        self._requests.labels(pool).observe(waited_ms / _MS_PER_SECOND)
+        self._request_durations.labels(pool).observe(waited_ms / _MS_PER_SECOND)
 
     def render(self):
-        """Return all metrics in the text format, as bytes."""
+        """Return all metrics in the Prometheus text format, as bytes."""
         return generate_latest(self.registry)
 
     def _make_counter(self, name, text, label):
