--- a/crankchute/adapters/operator_pages.py
+++ b/crankchute/adapters/operator_pages.py
@@ -1,4 +1,4 @@
-"""What a process tells operators over HTTP: metrics and its state."""
+"""HTTP pages for operators: metrics and the state of the process."""
 
 from http import HTTPStatus
 
@@ -10,7 +10,7 @@
 
 
 class OperatorPages:
-    """Answers `/metrics` with all metrics and `/state` with a dump."""
+    """Serves the metrics at `/metrics` and a state dump at `/state`."""
 
     def __init__(self, metrics, dump):
         """Create the pages.
@@ -23,7 +23,7 @@
         self._dump = dump
 
     def answer(self, exchange):
-        """Answer a question.
+        """Answer a request.
 
         Args:
           exchange: A ForwardExchange.
