--- a/crankchute/adapters/retry_after_test.py
+++ b/crankchute/adapters/retry_after_test.py
@@ -1,4 +1,4 @@
-"""Tests of reading the Retry-After header."""
+"""Tests of parsing the Retry-After header."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 
 
 @pytest.mark.parametrize(
-    ('text', 'wanted_ms'),
+    ('text', 'expected_ms'),
     [
         ('3', 3000),
         (' 3 ', 3000),
@@ -32,5 +32,5 @@
         ('Wed, 21 Oct 2026 07:28:00 GMT', 0),
     ],
 )
-def test_seconds_are_read(text, wanted_ms):
-    assert read_retry_after_ms(text) == wanted_ms
+def test_only_decimal_seconds_are_accepted(text, expected_ms):
+    assert read_retry_after_ms(text) == expected_ms
