--- a/crankchute/adapters/peer_records.py
+++ b/crankchute/adapters/peer_records.py
@@ -1,4 +1,4 @@
-"""Conversions between the core's objects and the messages between peers."""
+"""Conversion between core objects and the protobuf messages of peers."""
 
 from crankchute.adapters.crash_records import read_crashes, write_crashes
 from crankchute.core.briefing import (
@@ -15,14 +15,14 @@
 from crankchute.proto import peer_pb2
 
 _MEMBER_FIELDS = Member.__slots__
-#: The limit sent for a server that names none any more.
+#: Sent in place of a limit for a server that no longer reports one.
 _NO_LIMIT = -1
-#: The age sent for what was never proved the newest.
-_NO_PROOF = -1
+#: Sent in place of an age for data that was never confirmed as current.
+_UNKNOWN_AGE = -1
 
 
 def write_member(member):
-    """Return the message of a Member."""
+    """Return the message for a Member."""
     fields = {name: getattr(member, name) for name in _MEMBER_FIELDS}
     fields['status'] = int(member.status)
     return peer_pb2.MemberRecord(**fields)
@@ -35,7 +35,7 @@
 
 
 def write_changes(changes):
-    """Return the message of a ChangeSet, or an empty one for None."""
+    """Return the message for a ChangeSet, or an empty one for None."""
     if changes is None:
         return peer_pb2.ChangeReply()
     entries = [
@@ -69,11 +69,11 @@
 
 
 def write_briefing(briefing, now_ms):
-    """Return the message of a Briefing.
+    """Return the message for a Briefing.
 
     Args:
       briefing: A Briefing.
-      now_ms: The time on this process's clock.
+      now_ms: The current time of this process's clock.
     """
     return peer_pb2.Briefing(
         instance=briefing.instance,
@@ -107,7 +107,7 @@
 
     Args:
       record: The message.
-      now_ms: The time on this process's clock.
+      now_ms: The current time of this process's clock.
     """
     return Briefing(
         instance=record.instance,
@@ -138,7 +138,7 @@
 
 
 def _write_age(age_ms):
-    return _NO_PROOF if age_ms is None else age_ms
+    return _UNKNOWN_AGE if age_ms is None else age_ms
 
 
 def _read_age(age_ms):
@@ -177,10 +177,10 @@
 
 
 def _write_news(news, now_ms, *, is_whole):
-    """Return the message of a WorkNews.
+    """Return the message for a WorkNews.
 
-    What began or ended is known by its key to whoever was told that it was
-    sent, so only the sending, and a batch of all work, tell the rest.
+    The details are included only when work was sent and in a batch of all
+    work.  For work that started or ended, the receiver knows them by the key.
     """
     work = news.work
     if news.change != Change.SENT and not is_whole:
