--- a/crankchute/adapters/peers_grpc.py
+++ b/crankchute/adapters/peers_grpc.py
@@ -1,7 +1,7 @@
 """Calls between entry instances over gRPC.
 
-gRPC completes calls on threads of its own.  They only post to the loop and
-wait for what the loop answers; no decision is made on them.
+The threads of gRPC only pass requests and replies to the event loop; all state
+is handled on the loop's thread.
 """
 
 from collections import Counter
@@ -13,84 +13,83 @@
 from crankchute.proto import peer_pb2, peer_pb2_grpc
 
 _SERVER_THREADS = 16
-_LONGEST_ANSWER_S = 30
-_MESSAGE_BYTES = 16_777_216
+_MAX_REPLY_WAIT_S = 30
+_MAX_MESSAGE_BYTES = 16_777_216
 _OPTIONS = (
-    ('grpc.max_receive_message_length', _MESSAGE_BYTES),
-    ('grpc.max_send_message_length', _MESSAGE_BYTES),
+    ('grpc.max_receive_message_length', _MAX_MESSAGE_BYTES),
+    ('grpc.max_send_message_length', _MAX_MESSAGE_BYTES),
     ('grpc.so_reuseport', 0),
     ('grpc.enable_http_proxy', 0),
     ('grpc.initial_reconnect_backoff_ms', 100),
     ('grpc.max_reconnect_backoff_ms', 2000),
     ('grpc.use_local_subchannel_pool', 1),
-    # A cut network says nothing, so an unanswered ping ends a connection.
+    # Unanswered pings detect a network partition and close the connection.
     ('grpc.keepalive_time_ms', 2000),
     ('grpc.keepalive_timeout_ms', 1000),
     ('grpc.http2.max_pings_without_data', 0),
     ('grpc.http2.min_ping_interval_without_data_ms', 1000),
 )
 _MS_PER_SECOND = 1000
-_MOST_CHANNELS = 64
-#: A connection may go silent for good while new ones work, so after this many
-#: late answers in a row another one is opened: with calls every 250 to 500 ms
-#: and their time-outs that is within 1.5 s.
-_MOST_LATE = 2
+_MAX_CHANNELS = 64
+#: A connection may stop working while new ones succeed, so it is replaced after
+#: this many timeouts in a row.  With a call every 250 to 500 ms that happens
+#: within 1.5 s.
+_MAX_CONSECUTIVE_TIMEOUTS = 2
 
 
 class PeerServicer(peer_pb2_grpc.PeerServicer):
-    """Passes each call to the loop and waits for its answer."""
+    """Passes each call to the event loop and waits for the reply."""
 
-    def __init__(self, loop, answerer):
+    def __init__(self, loop, handlers):
         """Create the servicer.
 
         Args:
           loop: The Loop.
-          answerer: An object with a method for each call that it takes, such
-            as on_probe, a function of the request and of a function of the
-            reply.
+          handlers: An object with a method for each supported call, such as
+            on_probe, called with the request and a callback for the reply.
         """
         self._loop = loop
-        self._answerer = answerer
+        self._handlers = handlers
 
     def Probe(self, request, context):  # noqa: N802  (named by the protocol)
         """See peer.proto."""
-        return self._ask('on_probe', request, context)
+        return self._dispatch('on_probe', request, context)
 
     def Pull(self, request, context):  # noqa: N802  (named by the protocol)
         """See peer.proto.
 
-        Answers are packed: a large configuration would fill a slow link for a
-        tenth of a second, and is mostly repetition.
+        Replies are compressed, since configurations may be large and are
+        repetitive.
         """
         context.set_compression(grpc.Compression.Gzip)
-        return self._ask('on_pull', request, context)
+        return self._dispatch('on_pull', request, context)
 
     def Forward(self, request, context):  # noqa: N802  (named by the protocol)
         """See peer.proto."""
-        return self._ask('on_forward', request, context)
+        return self._dispatch('on_forward', request, context)
 
     def Borrow(self, request, context):  # noqa: N802  (named by the protocol)
         """See peer.proto."""
-        return self._ask('on_borrow', request, context)
+        return self._dispatch('on_borrow', request, context)
 
     def Share(self, request, context):  # noqa: N802  (named by the protocol)
         """See peer.proto."""
-        return self._ask('on_share', request, context)
+        return self._dispatch('on_share', request, context)
 
     def Turn(self, request, context):  # noqa: N802  (named by the protocol)
         """See peer.proto."""
-        return self._ask('on_turn', request, context)
+        return self._dispatch('on_turn', request, context)
 
-    def _ask(self, name, request, context):
-        function = getattr(self._answerer, name, None)
+    def _dispatch(self, name, request, context):
+        function = getattr(self._handlers, name, None)
         if function is None:
             status = grpc.StatusCode.UNIMPLEMENTED
             return context.abort(status, 'not served here')
         fut = Future()
         self._loop.post(function, request, fut.set_result)
-        allowed_s = min(context.time_remaining() or 0, _LONGEST_ANSWER_S)
+        timeout_s = min(context.time_remaining() or 0, _MAX_REPLY_WAIT_S)
         try:
-            return fut.result(timeout=allowed_s)
+            return fut.result(timeout=timeout_s)
         except FutureTimeoutError:
             return context.abort(grpc.StatusCode.DEADLINE_EXCEEDED, 'late')
 
@@ -102,19 +101,19 @@
       port: The port listened on.
     """
 
-    def __init__(self, loop, bind, answerer):
-        """Start to listen.
+    def __init__(self, loop, bind, handlers):
+        """Start listening.
 
         Args:
           loop: The Loop.
           bind: A pair of IP number and port.
-          answerer: See PeerServicer.
+          handlers: See PeerServicer.
         Raises:
-          OSError: If the address is taken.
+          OSError: If the address cannot be bound.
         """
         executor = ThreadPoolExecutor(max_workers=_SERVER_THREADS)
         self._server = grpc.server(executor, options=_OPTIONS)
-        servicer = PeerServicer(loop, answerer)
+        servicer = PeerServicer(loop, handlers)
         peer_pb2_grpc.add_PeerServicer_to_server(servicer, self._server)
         host, port = bind
         try:
@@ -124,12 +123,12 @@
         self._server.start()
 
     def stop(self):
-        """Stop to listen at once."""
+        """Stop the server without waiting for open calls."""
         self._server.stop(grace=0)
 
 
 class PeerClient:
-    """Calls other instances; answers come on the loop's thread."""
+    """Calls other instances; replies arrive on the loop's thread."""
 
     def __init__(self, loop):
         """Create a client without connections.
@@ -139,7 +138,7 @@
         """
         self._loop = loop
         self._channels = {}
-        self._late = Counter()
+        self._timeouts = Counter()
 
     def call(self, address, method, request, on_reply, *, timeout_ms):
         """Call a method of a peer.
@@ -148,10 +147,10 @@
           address: "IP:port".
           method: The name of a call in peer.proto, such as "Probe".
           request: The method's message.
-          on_reply: A function of the reply, or of None on any failure.
-          timeout_ms: Milliseconds to wait.
+          on_reply: Called with the reply, or with None on any failure.
+          timeout_ms: The timeout in milliseconds.
         """
-        stub = peer_pb2_grpc.PeerStub(self.channel_of(address))
+        stub = peer_pb2_grpc.PeerStub(self.get_channel(address))
         fut = getattr(stub, method).future(
             request,
             timeout=max(timeout_ms, 1) / _MS_PER_SECOND,
@@ -166,8 +165,8 @@
             channel.close()
         self._channels.clear()
 
-    def channel_of(self, address):
-        """Return the channel to a peer, opened if there is none.
+    def get_channel(self, address):
+        """Return the channel to a peer, creating it if necessary.
 
         Args:
           address: "IP:port".
@@ -176,7 +175,7 @@
         if channel is None:
             channel = grpc.insecure_channel(address, options=_OPTIONS)
         self._channels[address] = channel
-        if len(self._channels) > _MOST_CHANNELS:
+        if len(self._channels) > _MAX_CHANNELS:
             oldest = next(iter(self._channels))
             self._channels.pop(oldest).close()
         return channel
@@ -184,29 +183,31 @@
     def _on_done(self, fut, address, on_reply):
         failed = fut.cancelled() or fut.exception() is not None
         reply = None if failed else fut.result()
-        is_late = failed and fut.code() == grpc.StatusCode.DEADLINE_EXCEEDED
-        self._loop.post(self._take_reply, address, reply, is_late, on_reply)
+        is_timeout = failed and fut.code() == grpc.StatusCode.DEADLINE_EXCEEDED
+        self._loop.post(
+            self._handle_reply, address, reply, is_timeout, on_reply
+        )
 
-    def _take_reply(self, address, reply, is_late, on_reply):
-        if is_late:
-            self._note_late(address)
+    def _handle_reply(self, address, reply, is_timeout, on_reply):
+        if is_timeout:
+            self._record_timeout(address)
         else:
-            self._late.pop(address, None)
+            self._timeouts.pop(address, None)
         on_reply(reply)
 
-    def _note_late(self, address):
-        """Open another connection to a peer that is late again and again."""
-        self._late[address] += 1
-        if self._late[address] < _MOST_LATE:
+    def _record_timeout(self, address):
+        """Count a timeout, and close the channel after several in a row."""
+        self._timeouts[address] += 1
+        if self._timeouts[address] < _MAX_CONSECUTIVE_TIMEOUTS:
             return
-        self._late.pop(address)
+        self._timeouts.pop(address)
         channel = self._channels.pop(address, None)
         if channel is not None:
             channel.close()
 
 
 def make_gossip(members, config, instances):
-    """Return the gossip that goes with a message.
+    """Return the gossip for a message.
 
     Args:
       members: MemberRecord messages.
--- a/crankchute/adapters/peers_grpc_test.py
+++ b/crankchute/adapters/peers_grpc_test.py
@@ -8,11 +8,11 @@
 from crankchute.standins.ports import LOOPBACK
 
 _TICK_S = 0.001
-_LATE_MS = 60
+_TIMEOUT_MS = 60
 
 
-class World:
-    """A peer that answers when a test lets it, and a client."""
+class PeerHarness:
+    """A client, and a peer that can be told not to reply."""
 
     def __init__(self):
         self.loop = Loop()
@@ -36,7 +36,7 @@
             method,
             request,
             replies.append,
-            timeout_ms=5000 if self.answers else _LATE_MS,
+            timeout_ms=5000 if self.answers else _TIMEOUT_MS,
         )
         self.loop.run_until(lambda: replies, _TICK_S)
         return replies[0]
@@ -47,19 +47,19 @@
 
 
 @pytest.fixture
-def world():
-    made = World()
-    yield made
-    made.stop()
+def harness():
+    created = PeerHarness()
+    yield created
+    created.stop()
 
 
-def test_peer_answers(world):
-    reply = world.call('Share', peer_pb2.Briefing())
+def test_peer_replies(harness):
+    reply = harness.call('Share', peer_pb2.Briefing())
     assert reply.instance == 'peer'
 
 
-def test_large_answer_comes_whole(world):
-    reply = world.call('Pull', peer_pb2.PullRequest())
+def test_large_reply_is_complete(harness):
+    reply = harness.call('Pull', peer_pb2.PullRequest())
     assert len(reply.entries[0].payload) == 45_000
 
 
@@ -71,16 +71,16 @@
         ((False, False), True),
     ],
 )
-def test_connection_that_is_late_again_and_again_is_replaced(
-    world, calls, is_replaced
+def test_connection_is_replaced_after_consecutive_timeouts(
+    harness, calls, is_replaced
 ):
-    assert world.call('Share', peer_pb2.Briefing()) is not None
-    before = world.client.channel_of(world.address)
+    assert harness.call('Share', peer_pb2.Briefing()) is not None
+    before = harness.client.get_channel(harness.address)
     for answers in calls:
-        world.answers = answers
-        reply = world.call('Share', peer_pb2.Briefing())
+        harness.answers = answers
+        reply = harness.call('Share', peer_pb2.Briefing())
         assert (reply is not None) == answers
-    is_same = world.client.channel_of(world.address) is before
+    is_same = harness.client.get_channel(harness.address) is before
     assert is_same != is_replaced
-    world.answers = True
-    assert world.call('Share', peer_pb2.Briefing()) is not None
+    harness.answers = True
+    assert harness.call('Share', peer_pb2.Briefing()) is not None
