--- a/crankchute/adapters/platform_http.py
+++ b/crankchute/adapters/platform_http.py
@@ -1,4 +1,4 @@
-"""Reading and watching the platform over HTTP."""
+"""Watches of the platform's stores, by HTTP long polling."""
 
 import base64
 from http import HTTPStatus
@@ -9,23 +9,24 @@
 from crankchute.core.replica import ChangeSet, Entry
 from crankchute.ports.http import WholeResponse
 
-_WAIT_S = 20
-_SLACK_MS = 3000
-_FIRST_RETRY_MS = 250
-_LONGEST_RETRY_MS = 5000
+_LONG_POLL_S = 20
+_RESPONSE_SLACK_MS = 3000
+_INITIAL_RETRY_MS = 250
+_MAX_RETRY_MS = 5000
 _MS_PER_SECOND = 1000
 
 
 class PlatformWatch:
-    """Watches one store of the platform while it is told to.
+    """Watches one store of the platform while switched on.
 
     Attributes:
-      failing_since_ms: Since when reads have failed, or None.
-      reads: How many reads were made, an int.
+      failing_since_ms: The time of the first of the current failures, or
+        None.
+      reads: The number of reads, an int.
     """
 
     def __init__(self, client, timers, address, store):
-        """Create a watch that is switched off.
+        """Create an inactive watch.
 
         Args:
           client: An HttpClient.
@@ -38,9 +39,9 @@
         self._address = address
         self._path = f'/v1/{store}'
         self._call = None
-        self._pause = None
-        self._guard = None
-        self._retry_ms = _FIRST_RETRY_MS
+        self._retry_timer = None
+        self._timeout = None
+        self._retry_delay_ms = _INITIAL_RETRY_MS
         self._source = None
         self.failing_since_ms = None
         self.reads = 0
@@ -51,7 +52,7 @@
         return self._source is not None
 
     def switch_on(self, source):
-        """Watch for changes.
+        """Start watching.
 
         Args:
           source: An object with `seen_revision` and `offer(ChangeSet)`.
@@ -63,73 +64,75 @@
     def switch_off(self):
         """Stop watching."""
         self._source = None
-        for waiting in (self._call, self._pause, self._guard):
-            if waiting is not None:
-                waiting.cancel()
+        for pending in (self._call, self._retry_timer, self._timeout):
+            if pending is not None:
+                pending.cancel()
 
     def _read(self):
         if self._source is None:
             return
         since = self._source.seen_revision
-        wait_s = _WAIT_S if since else 0
+        wait_s = _LONG_POLL_S if since else 0
         path = f'{self._path}?since={since}&wait={wait_s}'
         payload = build_request('GET', self._address, path)
         self.reads += 1
-        allowed_ms = wait_s * _MS_PER_SECOND + _SLACK_MS
-        self._guard = self._timers.after(allowed_ms, self._on_silence)
+        timeout_ms = wait_s * _MS_PER_SECOND + _RESPONSE_SLACK_MS
+        self._timeout = self._timers.after(timeout_ms, self._on_timeout)
         sink = WholeResponse(self._on_response, self._on_error)
         self._call = self._client.send(self._address, payload, sink)
 
-    def _on_silence(self):
+    def _on_timeout(self):
         self._call.cancel()
         self._retry()
 
     def _on_error(self, _exc):
-        self._guard.cancel()
+        self._timeout.cancel()
         self._retry()
 
     def _on_response(self, status, body):
-        self._guard.cancel()
+        self._timeout.cancel()
         if self._source is None:
             return
-        changes = _try_changes(status, body)
+        changes = _parse_response(status, body)
         if changes is None:
             self._retry()
             return
         self.failing_since_ms = None
-        self._retry_ms = _FIRST_RETRY_MS
-        is_behind = not self._source.seen_revision
+        self._retry_delay_ms = _INITIAL_RETRY_MS
+        was_empty = not self._source.seen_revision
         self._source.offer(changes)
-        if is_behind and not self._source.seen_revision:
-            self._pause = self._timers.after(self._retry_ms, self._read)
+        if was_empty and not self._source.seen_revision:
+            self._retry_timer = self._timers.after(
+                self._retry_delay_ms, self._read
+            )
             return
         self._read()
 
     def _retry(self):
         if self.failing_since_ms is None:
             self.failing_since_ms = self._timers.clock.now_ms()
-        self._pause = self._timers.after(self._retry_ms, self._read)
-        self._retry_ms = min(self._retry_ms * 2, _LONGEST_RETRY_MS)
+        self._retry_timer = self._timers.after(self._retry_delay_ms, self._read)
+        self._retry_delay_ms = min(self._retry_delay_ms * 2, _MAX_RETRY_MS)
 
 
 def read_changes(document):
-    """Return the ChangeSet that a platform's answer holds.
+    """Return the ChangeSet in a response of the platform.
 
-    Values of the configuration come as base64 text, records of the instance
-    list as maps; both are kept as bytes.
+    Values of the configuration are base64 text and records of the instance
+    list are maps; the ChangeSet holds both as bytes.
 
     Args:
       document: A map with `since`, `revision` and `entries`.
     """
     entries = {
-        key: Entry(revision, _read_payload(payload))
+        key: Entry(revision, _decode_payload(payload))
         for key, (revision, payload) in dict(document['entries']).items()
     }
     return ChangeSet(document['since'], document['revision'], entries)
 
 
-def _try_changes(status, body):
-    """Return the changes of an answer, or None if it is not one."""
+def _parse_response(status, body):
+    """Return the changes in a response, or None if it is invalid."""
     if status != HTTPStatus.OK:
         return None
     try:
@@ -138,7 +141,7 @@
         return None
 
 
-def _read_payload(payload):
+def _decode_payload(payload):
     if payload is None:
         return None
     if isinstance(payload, str):
