--- a/crankchute/adapters/routes.py
+++ b/crankchute/adapters/routes.py
@@ -1,4 +1,4 @@
-"""Routes of an HTTP server: a registry from method and path to a function."""
+"""Routing of HTTP requests to functions by method and path."""
 
 from http import HTTPStatus
 from urllib.parse import parse_qsl
@@ -9,19 +9,19 @@
 
 
 class Routes:
-    """Maps of exact paths, and of prefixes for what takes a rest."""
+    """A registry of exact paths and path prefixes."""
 
     def __init__(self):
-        """Create without routes."""
+        """Create an empty registry."""
         self._exact = {}
         self._prefixes = {}
 
     def add(self, method, path):
-        """Return a decorator that routes requests to a method.
+        """Return a decorator that registers a method for requests.
 
         Args:
           method: The HTTP method.
-          path: The path; one that ends in a slash takes what follows too.
+          path: The path; one that ends in a slash matches as a prefix.
         """
 
         def decorate(function):
@@ -32,13 +32,13 @@
         return decorate
 
     def dispatch(self, owner, exchange):
-        """Call the function that a request is routed to.
+        """Call the function that is registered for a request.
 
         Args:
-          owner: The object whose method the function is.
+          owner: The object on which the function is called.
           exchange: An Exchange.
         Raises:
-          RequestRefused: If there is no such path.
+          RequestRefused: If no route matches.
         """
         function = self._exact.get((exchange.method, exchange.path))
         if function is None:
@@ -84,7 +84,7 @@
 
 
 def read_query(exchange):
-    """Return the query of a request as a map of strings; the last one wins.
+    """Return the query of a request as a map; the last duplicate wins.
 
     Args:
       exchange: An Exchange.
