--- a/crankchute/adapters/service_http.py
+++ b/crankchute/adapters/service_http.py
@@ -1,4 +1,4 @@
-"""Plain services over HTTP: a ForwardPort whose jobs carry a ServiceCall."""
+"""A ForwardPort to plain services over HTTP; its jobs hold a ServiceCall."""
 
 from crankchute.adapters.http_client import CallOptions, build_request
 from crankchute.adapters.retry_after import read_retry_after_ms
@@ -7,10 +7,10 @@
 from crankchute.ports.http import WholeResponse
 
 KEY_HEADER = 'Crankchute-Key'
-#: A backend server sets this header when a call did not start there.
+#: Response header of a backend server that did not start the call.
 NOT_RUN_HEADER = 'crankchute-not-run'
-_CONTENT_TYPE = 'content-type'
-_OCTETS = 'application/octet-stream'
+_CONTENT_TYPE_HEADER = 'content-type'
+_DEFAULT_CONTENT_TYPE = 'application/octet-stream'
 
 
 class HttpServices(ForwardPort):
@@ -41,17 +41,19 @@
             headers,
         )
 
-        def take(status, body):
+        def on_response(status, body):
             if NOT_RUN_HEADER in sink.headers:
                 listener.on_not_run(_read_rejection(sink.headers))
                 return
-            content_type = sink.headers.get(_CONTENT_TYPE, _OCTETS)
-            headers = [(_CONTENT_TYPE, content_type)]
+            content_type = sink.headers.get(
+                _CONTENT_TYPE_HEADER, _DEFAULT_CONTENT_TYPE
+            )
+            headers = [(_CONTENT_TYPE_HEADER, content_type)]
             listener.on_head(AnswerHead(status, headers))
             listener.on_body(body)
             listener.on_end()
 
-        sink = WholeResponse(take, listener.on_failed)
+        sink = WholeResponse(on_response, listener.on_failed)
         options = CallOptions(fresh=job.repeat == Repeat.ONCE)
         return self._client.send(address, payload, sink, options)
 
--- a/crankchute/adapters/service_http_test.py
+++ b/crankchute/adapters/service_http_test.py
@@ -1,4 +1,4 @@
-"""Tests of plain services over HTTP, with a fake client."""
+"""Tests of the HTTP adapter for plain services, with a fake client."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 
 
 class FakeClient:
-    """Answers each call with one head and body.
+    """Answers each call with the same status and headers.
 
     Attributes:
       status: The HTTP status.
@@ -18,10 +18,10 @@
     def __init__(self, status, headers):
         self.status = status
         self.headers = headers
-        self.asked = []
+        self.called = []
 
     def send(self, address, _payload, sink, _options):
-        self.asked.append(address)
+        self.called.append(address)
         sink.on_head(self.status, self.headers)
         sink.on_done()
 
@@ -41,24 +41,20 @@
 
 
 @pytest.mark.parametrize(
-    ('hint', 'until_ms'),
+    ('retry_after', 'until_ms'),
     [('3', 3000), ('0', 0), ('soon', 0), (None, 0)],
 )
-def test_server_that_asks_for_rest_is_left_alone(hint, until_ms):
-    """As engines of this interface are, and servers of a forwarding one.
-
-    A service that did not run a call and said when to come back was asked
-    again at once, by the next call.
-    """
+def test_server_is_not_called_before_its_retry_after(retry_after, until_ms):
+    """The next call must not be sent to a service calls_before its Retry-After."""
     headers = {'crankchute-not-run': '1'}
-    if hint is not None:
-        headers['retry-after'] = hint
+    if retry_after is not None:
+        headers['retry-after'] = retry_after
     world = ForwardWorld(servers=1)
     world.desk.port = HttpServices(FakeClient(503, headers))
     flow, _sink = world.submit(payload=make_call())
     assert flow.ended
     assert world.backends[0].refused_until_ms == until_ms
-    before = len(world.desk.port._client.asked)
+    calls_before = len(world.desk.port._client.called)
     world.submit(payload=make_call())
-    is_asked = len(world.desk.port._client.asked) > before
-    assert is_asked == (until_ms == 0)
+    is_called = len(world.desk.port._client.called) > calls_before
+    assert is_called == (until_ms == 0)
