--- a/crankchute/adapters/sse.py
+++ b/crankchute/adapters/sse.py
@@ -1,11 +1,11 @@
-"""Server-sent events: one JSON document in each."""
+"""Server-sent events that hold one JSON document each."""
 
 import orjson
 
-_START = b'data: '
-_END = b'\n\n'
+_DATA_PREFIX = b'data: '
+_EVENT_END = b'\n\n'
 DONE = b'data: [DONE]\n\n'
-#: A comment, which readers pass over; it tells that the sender is alive.
+#: A comment, which readers ignore, that shows that the sender is alive.
 KEEP_ALIVE = b': waiting\n\n'
 EVENT_STREAM = 'text/event-stream'
 
@@ -14,35 +14,35 @@
     """Return the bytes of an event.
 
     Args:
-      document: What orjson can write.
+      document: An object that orjson can serialize.
     """
-    return b''.join((_START, orjson.dumps(document), _END))
+    return b''.join((_DATA_PREFIX, orjson.dumps(document), _EVENT_END))
 
 
 class EventReader:
-    """Cuts a stream of bytes into events."""
+    """Splits a byte stream into events."""
 
     __slots__ = ('_buffer',)
 
     def __init__(self):
-        """Create a reader at the start of a stream."""
+        """Create a reader for a new stream."""
         self._buffer = b''
 
     def feed(self, chunk):
-        """Take bytes and return the documents that became whole.
+        """Parse bytes and return the documents that are now complete.
 
         Args:
           chunk: Bytes.
         Returns:
-          A list of documents; the closing mark of the stream is left out.
+          A list of documents without the end marker of the stream.
         Raises:
           orjson.JSONDecodeError: If an event is not JSON.
         """
-        events = (self._buffer + chunk).split(_END)
+        events = (self._buffer + chunk).split(_EVENT_END)
         self._buffer = events.pop()
         documents = []
         for event in events:
-            text = event.removeprefix(_START)
+            text = event.removeprefix(_DATA_PREFIX)
             if text != b'[DONE]' and not event.startswith(b':'):
                 documents.append(orjson.loads(text))
         return documents
