--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -176,8 +176,8 @@
         'late timers go before what arrived',
         'crankchute/adapters/timers_test.py',
         'crankchute/adapters/timers.py',
-        'if self._reads_first():',
-        'if self._reads_first() is None:',
+        'if self._must_read_first():',
+        'if self._must_read_first() is None:',
     ),
     Mutation(
         'a lost release of a hold is not sent again',
--- a/crankchute/adapters/timers.py
+++ b/crankchute/adapters/timers.py
@@ -1,8 +1,7 @@
-"""The timer service that parts subscribe to, on the event loop.
+"""The timer service of the event loop.
 
-A timer component of the library is polled in every pass of the loop, so
-thousands of them cost more than the work they wait for.  One component with a
-heap serves them all.
+The loop polls each timer component of circuits in every iteration, which is
+expensive with thousands of timers.  This component keeps all timers in a heap.
 """
 
 from circuits import BaseComponent, handler
@@ -12,18 +11,18 @@
 from crankchute.ports.time import TimerService
 
 _MS_PER_SECOND = 1000
-#: A timer that runs this late, in milliseconds, tells that the process stood
-#: still or had too much to do: others take it for silent after that long.
-_LATE_MS = 200
-#: From this lateness on, in milliseconds, what has arrived is read before timers
-#: run: time-outs of answers that are there, and renewals for requests that are
-#: over, would come of the process's own delay.  Less costs a turn of the loop
-#: for each timer.
-_READ_FIRST_MS = 50
+#: Lateness of a timer, in milliseconds, from which on it is logged.  Peers treat
+#: a process that is blocked or overloaded for this long as unresponsive.
+_LOGGED_LATENESS_MS = 200
+#: Lateness of a timer, in milliseconds, from which on sockets are read before
+#: timers run, so that a delay of the process itself causes neither timeouts of
+#: replies that have arrived nor renewals for requests that have ended.  A lower
+#: value would cost an iteration of the loop for each timer.
+_READ_FIRST_LATENESS_MS = 50
 
 
 class LoopTimers(BaseComponent, TimerService):
-    """Runs subscribed callbacks on the loop's thread."""
+    """Runs timer callbacks on the loop's thread."""
 
     channel = 'timers'
 
@@ -36,11 +35,11 @@
         super().__init__()
         self._clock = clock
         self._heap = TimerHeap()
-        self._has_read = False
+        self._was_read_first = False
 
     @property
     def clock(self):
-        """The Clock that the service goes by."""
+        """The Clock of the service."""
         return self._clock
 
     def after(self, delay_ms, callback):
@@ -50,29 +49,31 @@
 
     @handler('generate_events', priority=1)
     def _on_generate_events(self, event):
-        if self._reads_first():
+        if self._must_read_first():
             event.reduce_time_left(0)
             return
-        self._run_due()
+        self._run_due_timers()
         due_ms = self._heap.next_due_ms()
         if due_ms is not None:
             wait_ms = max(due_ms - self._clock.now_ms(), 0)
             event.reduce_time_left(wait_ms / _MS_PER_SECOND)
 
-    def _run_due(self):
+    def _run_due_timers(self):
         now_ms = self._clock.now_ms()
         subscription = self._heap.pop_due(now_ms)
         while subscription is not None:
             subscription.run()
             subscription = self._heap.pop_due(now_ms)
 
-    def _reads_first(self):
-        """Tell, once in a row, whether sockets must be read before timers."""
+    def _must_read_first(self):
+        """Tell whether to read sockets before timers, never twice in a row."""
         late_ms = self._lateness_ms()
-        self._has_read = late_ms > _READ_FIRST_MS and not self._has_read
-        if self._has_read and late_ms > _LATE_MS:
+        self._was_read_first = (
+            late_ms > _READ_FIRST_LATENESS_MS and not self._was_read_first
+        )
+        if self._was_read_first and late_ms > _LOGGED_LATENESS_MS:
             log_change('loop_late', failed=True, late_ms=round(late_ms, 1))
-        return self._has_read
+        return self._was_read_first
 
     def _lateness_ms(self):
         due_ms = self._heap.next_due_ms()
