--- a/crankchute/adapters/early_requests_test.py
+++ b/crankchute/adapters/early_requests_test.py
@@ -33,11 +33,11 @@
 @pytest.mark.parametrize(
     ('steps', 'served'),
     [
-        (['take', 'inform'], 1),
-        (['take', 'take', 'inform', 'take'], 3),
+        (['take', 'load'], 1),
+        (['take', 'take', 'load', 'take'], 3),
         (['take', 'wait'], 1),
-        (['take', 'wait', 'inform'], 1),
-        (['take', 'leave', 'inform', 'wait'], 0),
+        (['take', 'wait', 'load'], 1),
+        (['take', 'disconnect', 'load', 'wait'], 0),
         (['take'], 0),
     ],
 )
@@ -47,9 +47,9 @@
     for step in steps:
         if step == 'take':
             latest = harness.take()
-        elif step == 'inform':
+        elif step == 'load':
             harness.queue.note_informed()
-        elif step == 'leave':
+        elif step == 'disconnect':
             latest.on_gone()
         else:
             harness.timers.advance(100)
--- a/crankchute/adapters/forward_server_test.py
+++ b/crankchute/adapters/forward_server_test.py
@@ -10,14 +10,14 @@
 from crankchute.adapters.loop import Loop
 
 _LOOPBACK = '127.0.0.1'
-_LIMITS = IntakeLimits(
+_REQUEST_LIMITS = IntakeLimits(
     head_bytes=2000,
     body_bytes=1000,
     head_ms=5000,
     body_rate=1,
 )
 _OVERSIZED_HEAD = b'GET / HTTP/1.1\r\nHost: a\r\n%b' % (b'X: 1234567\r\n' * 300)
-_OK = b'GET /ok HTTP/1.1\r\nHost: a\r\n\r\n'
+_GET_REQUEST = b'GET /ok HTTP/1.1\r\nHost: a\r\n\r\n'
 
 
 class ServerHarness:
@@ -34,7 +34,7 @@
             channel='tested',
             idle_ms=60_000,
         ).register(self.loop)
-        self.server.limits = _LIMITS
+        self.server.limits = _REQUEST_LIMITS
 
     def connect(self):
         sock = socket.create_connection((_LOOPBACK, self.server.port))
@@ -79,7 +79,7 @@
 @pytest.mark.parametrize(
     ('payload', 'method', 'target', 'body'),
     [
-        (_OK, 'GET', '/ok', b''),
+        (_GET_REQUEST, 'GET', '/ok', b''),
         (
             b'POST /a%2Fb/../c?x=%20&y HTTP/1.1\r\nHost: a\r\n'
             b'Content-Length: 3\r\n\r\n\x00\xff\n',
@@ -131,7 +131,7 @@
         (b'GET / HTTP/1.1\r\nHost: a\r\nX Y: 1\r\n\r\n', 400),
         (_OVERSIZED_HEAD, 431),
         (b'POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1001\r\n\r\n', 413),
-        (_OK * 2, 400),
+        (_GET_REQUEST * 2, 400),
     ],
 )
 def test_invalid_request_is_refused_and_the_connection_closed(payload, status):
@@ -146,7 +146,7 @@
     harness = ServerHarness(reply_ok)
     sock = harness.connect()
     for _ in range(3):
-        sock.sendall(_OK)
+        sock.sendall(_GET_REQUEST)
         assert harness.read(sock, b'fine').endswith(b'fine')
     assert len(harness.exchanges) == 3
     sock.close()
@@ -155,9 +155,9 @@
 def test_next_request_waits_for_the_current_response():
     harness = ServerHarness(lambda _exchange: None)
     sock = harness.connect()
-    sock.sendall(_OK)
+    sock.sendall(_GET_REQUEST)
     harness.loop.run_until(lambda: len(harness.exchanges) == 1, 0.001)
-    sock.sendall(_OK)
+    sock.sendall(_GET_REQUEST)
     harness.answer = reply_ok
     for _ in range(20):
         harness.loop.tick(0.001)
@@ -170,7 +170,7 @@
 def test_stream_is_chunked_and_aborting_it_leaves_it_incomplete():
     harness = ServerHarness(lambda exchange: None)
     sock = harness.connect()
-    sock.sendall(_OK)
+    sock.sendall(_GET_REQUEST)
     harness.loop.run_until(lambda: bool(harness.exchanges), 0.001)
     exchange = harness.exchanges[0]
     exchange.start(200, [('Content-Type', 'text/event-stream')])
@@ -185,7 +185,7 @@
     disconnects = []
     harness = ServerHarness(lambda _exchange: None)
     sock = harness.connect()
-    sock.sendall(_OK)
+    sock.sendall(_GET_REQUEST)
     harness.loop.run_until(lambda: bool(harness.exchanges), 0.001)
     harness.exchanges[0].on_gone = lambda: disconnects.append(1)
     sock.close()
@@ -197,7 +197,7 @@
 def test_closing_is_announced_by_header(caller_asks):
     harness = ServerHarness(reply_ok)
     harness.server.is_closing = not caller_asks
-    payload = _OK
+    payload = _GET_REQUEST
     if caller_asks:
         payload = b'GET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n'
     assert b'Connection: close' in harness.request(payload, to_end=True)
@@ -208,7 +208,7 @@
         raise ZeroDivisionError
 
     harness = ServerHarness(fail)
-    assert harness.request(_OK).startswith(b'HTTP/1.1 500')
+    assert harness.request(_GET_REQUEST).startswith(b'HTTP/1.1 500')
 
 
 def disconnect(sock):
@@ -227,14 +227,14 @@
     """A resumed process finds the request and the disconnect together."""
     harness = ServerHarness(reply_ok)
     sock = harness.connect()
-    sock.sendall(_OK)
+    sock.sendall(_GET_REQUEST)
     if requests == 2:
         harness.read(sock, b'fine')
-        sock.sendall(_OK)
+        sock.sendall(_GET_REQUEST)
     end_connection(sock)
     exchanges_before = len(harness.exchanges)
     other = harness.connect()
-    other.sendall(_OK)
+    other.sendall(_GET_REQUEST)
     harness.read(other, b'fine')
     other.close()
     assert len(harness.exchanges) == exchanges_before + 1
@@ -243,7 +243,7 @@
 def test_silent_caller_is_served():
     harness = ServerHarness(reply_ok)
     sock = harness.connect()
-    sock.sendall(_OK)
+    sock.sendall(_GET_REQUEST)
     assert b'fine' in harness.read(sock, b'fine')
     assert len(harness.exchanges) == 1
     sock.close()
--- a/crankchute/adapters/http_test.py
+++ b/crankchute/adapters/http_test.py
@@ -14,7 +14,7 @@
 _LOOPBACK = '127.0.0.1'
 
 
-class _Source:
+class _RecordingSource:
     """Records the changes that a watch offers."""
 
     def __init__(self):
@@ -139,7 +139,7 @@
             exchange.reply(HTTPStatus.OK, answers[len(requested) - 1])
 
     harness = _Harness(answer)
-    source = _Source()
+    source = _RecordingSource()
     watch = PlatformWatch(
         harness.client,
         harness.loop.timers,
--- a/crankchute/adapters/load_poller.py
+++ b/crankchute/adapters/load_poller.py
@@ -24,19 +24,19 @@
       polls: The number of load requests sent, an int.
     """
 
-    def __init__(self, client, timers, fleet, own):
+    def __init__(self, client, timers, fleet, local_member):
         """Start polling.
 
         Args:
           client: An HttpClient.
           timers: A TimerService.
           fleet: The Fleet.
-          own: The Member that this process is.
+          local_member: The Member of this process.
         """
         self._client = client
         self._timers = timers
         self._fleet = fleet
-        self._own = own
+        self._local_member = local_member
         self._pending = {}
         self._due_ms = {}
         self._subset = []
@@ -64,8 +64,8 @@
         """Return the engines that this process may use, a list of Backend.
 
         Engines of the local data centre come first, then others, up to the
-        limit.  Each process ranks them by a hash with its own id, which spreads
-        the processes evenly over the engines.
+        limit.  Each process ranks them by a hash that includes its own id, which
+        spreads the processes evenly over the engines.
         """
         if self._version != self._fleet.version:
             self._version = self._fleet.version
@@ -89,12 +89,12 @@
             for one in self._fleet
             if one.listed.kind == KIND_ENGINE
         }
-        ranked = rank_by_hash(self._own.identity, engines)
+        ranked = rank_by_hash(self._local_member.identity, engines)
         ranked.sort(key=lambda identity: self._is_remote(engines[identity]))
         return [engines[identity] for identity in ranked[:_MAX_SUBSET]]
 
     def _is_remote(self, backend):
-        return backend.listed.data_centre != self._own.data_centre
+        return backend.listed.data_centre != self._local_member.data_centre
 
     def _send_request(self, backend, load_request):
         since = backend.prefix.sequence or 0
--- a/crankchute/adapters/log.py
+++ b/crankchute/adapters/log.py
@@ -58,10 +58,10 @@
           line: Bytes that end with a newline.
           failed: Whether it reports a failure, a bool.
         """
-        allowed = _BUFFER_BYTES if failed else _SUCCESS_BUFFER_BYTES
-        if len(self._buffer) + len(line) > allowed:
+        limit = _BUFFER_BYTES if failed else _SUCCESS_BUFFER_BYTES
+        if len(self._buffer) + len(line) > limit:
             self.flush()
-        if len(self._buffer) + len(line) > allowed:
+        if len(self._buffer) + len(line) > limit:
             self.dropped += 1
             return
         self._buffer += line
@@ -107,9 +107,9 @@
         self._start_second()
         kind = message.get(_KIND, '')
         failed = bool(message.get(_FAILED))
-        allowed = FAILURES_PER_S if failed else LINES_PER_S
+        limit = FAILURES_PER_S if failed else LINES_PER_S
         self._written[kind, failed] += 1
-        if self._written[kind, failed] > allowed:
+        if self._written[kind, failed] > limit:
             self._omitted[kind] += 1
             return
         self._write(message, failed=failed)
--- a/crankchute/adapters/peer_records.py
+++ b/crankchute/adapters/peer_records.py
@@ -158,12 +158,12 @@
     return Impression(record.server, signs)
 
 
-def _write_limit(word, now_ms):
+def _write_limit(limit_report, now_ms):
     return peer_pb2.LimitRecord(
-        server=word.server,
-        limit=_NO_LIMIT if word.limit is None else word.limit,
-        age_ms=now_ms - word.at_ms,
-        source=word.source,
+        server=limit_report.server,
+        limit=_NO_LIMIT if limit_report.limit is None else limit_report.limit,
+        age_ms=now_ms - limit_report.at_ms,
+        source=limit_report.source,
     )
 
 
--- a/crankchute/adapters/peers_grpc.py
+++ b/crankchute/adapters/peers_grpc.py
@@ -85,11 +85,11 @@
         if function is None:
             status = grpc.StatusCode.UNIMPLEMENTED
             return context.abort(status, 'not served here')
-        fut = Future()
-        self._loop.post(function, request, fut.set_result)
+        call_future = Future()
+        self._loop.post(function, request, call_future.set_result)
         timeout_s = min(context.time_remaining() or 0, _MAX_REPLY_WAIT_S)
         try:
-            return fut.result(timeout=timeout_s)
+            return call_future.result(timeout=timeout_s)
         except FutureTimeoutError:
             return context.abort(grpc.StatusCode.DEADLINE_EXCEEDED, 'late')
 
@@ -151,11 +151,11 @@
           timeout_ms: The timeout in milliseconds.
         """
         stub = peer_pb2_grpc.PeerStub(self.get_channel(address))
-        fut = getattr(stub, method).future(
+        call_future = getattr(stub, method).future(
             request,
             timeout=max(timeout_ms, 1) / _MS_PER_SECOND,
         )
-        fut.add_done_callback(
+        call_future.add_done_callback(
             lambda done: self._on_done(done, address, on_reply),
         )
 
@@ -180,10 +180,12 @@
             self._channels.pop(oldest).close()
         return channel
 
-    def _on_done(self, fut, address, on_reply):
-        failed = fut.cancelled() or fut.exception() is not None
-        reply = None if failed else fut.result()
-        is_timeout = failed and fut.code() == grpc.StatusCode.DEADLINE_EXCEEDED
+    def _on_done(self, call_future, address, on_reply):
+        failed = call_future.cancelled() or call_future.exception() is not None
+        reply = None if failed else call_future.result()
+        is_timeout = (
+            failed and call_future.code() == grpc.StatusCode.DEADLINE_EXCEEDED
+        )
         self._loop.post(
             self._handle_reply, address, reply, is_timeout, on_reply
         )
