--- a/crankchute/adapters/forward_server.py
+++ b/crankchute/adapters/forward_server.py
@@ -1,8 +1,8 @@
 """An HTTP server that passes requests on unmodified.
 
 circuits.web rewrites targets, headers and bodies.  Requests that must reach a
-backend server unchanged therefore bypass it: the adapters' own request parser
-reads them, and this module frames the responses.
+backend server unchanged therefore bypass it: RequestReader reads them, and this
+module frames the responses.
 """
 
 import socket
@@ -13,7 +13,7 @@
 import orjson
 from circuits import handler
 
-from crankchute.adapters.http_intake import DEFAULT_LIMITS, Intake
+from crankchute.adapters.http_intake import DEFAULT_LIMITS, RequestReader
 from crankchute.adapters.log import log_change
 from crankchute.adapters.sockets import DirectServer, set_tcp_options
 from crankchute.errors import RequestRefused
@@ -53,26 +53,26 @@
         'target',
     )
 
-    def __init__(self, server, sock, intake):
-        """Take a complete request from its parser.
+    def __init__(self, server, sock, reader):
+        """Take a complete request from its reader.
 
         Args:
           server: The ForwardServer.
           sock: The caller's socket.
-          intake: An Intake whose request is complete.
+          reader: A RequestReader whose request is complete.
         """
         self._server = server
         self._sock = sock
         self._chunked = False
-        self._closes = not intake.keeps_alive
-        self.method = intake.method
-        self.target = intake.target.decode('latin-1')
+        self._closes = not reader.keeps_alive
+        self.method = reader.method
+        self.target = reader.target.decode('latin-1')
         self.headers = [
             (name.decode('latin-1'), text.decode('latin-1'))
-            for name, text in intake.headers
+            for name, text in reader.headers
         ]
-        self.body = b''.join(intake.parts)
-        self.arrived_ms = intake.started_ms
+        self.body = b''.join(reader.parts)
+        self.arrived_ms = reader.started_ms
         self.on_gone = None
         self.started = False
 
@@ -185,10 +185,10 @@
 class _Connection:
     """The state of a caller's connection."""
 
-    __slots__ = ('exchange', 'idle_since_ms', 'intake', 'pending')
+    __slots__ = ('exchange', 'idle_since_ms', 'pending', 'reader')
 
-    def __init__(self, intake, now_ms):
-        self.intake = intake
+    def __init__(self, reader, now_ms):
+        self.reader = reader
         self.exchange = None
         self.idle_since_ms = now_ms
         self.pending = b''
@@ -246,7 +246,7 @@
             self._connections.pop(sock)
             self.close(sock)
             return
-        connection.intake.reset()
+        connection.reader.reset()
         connection.idle_since_ms = self._clock.now_ms()
         pending = connection.pending
         connection.pending = b''
@@ -281,8 +281,10 @@
 
     def _open_connection(self, sock):
         set_tcp_options(sock)
-        intake = Intake(self.limits, lambda reply: self.write(sock, reply))
-        connection = _Connection(intake, self._clock.now_ms())
+        reader = RequestReader(
+            self.limits, lambda reply: self.write(sock, reply)
+        )
+        connection = _Connection(reader, self._clock.now_ms())
         self._connections[sock] = connection
         return connection
 
@@ -293,18 +295,18 @@
             self._close(sock)
 
     def _feed(self, sock, connection, chunk):
-        intake = connection.intake
+        reader = connection.reader
         try:
-            intake.feed(chunk, self._clock.now_ms())
+            reader.feed(chunk, self._clock.now_ms())
         except RequestRefused as refusal:
             self._reject(sock, refusal)
             return
-        if intake.done and _is_closed_by_caller(sock):
+        if reader.done and _is_closed_by_caller(sock):
             # The caller disconnected while the loop was blocked or the process
             # was suspended, so the request must not reach a server.
             self.drop(sock)
-        elif intake.done:
-            exchange = ForwardExchange(self, sock, intake)
+        elif reader.done:
+            exchange = ForwardExchange(self, sock, reader)
             connection.exchange = exchange
             exchange.serve(self._on_request)
 
@@ -339,13 +341,13 @@
                 self._check_timeout(sock, connection, now_ms)
 
     def _check_timeout(self, sock, connection, now_ms):
-        intake = connection.intake
-        if intake.started_ms is None:
+        reader = connection.reader
+        if reader.started_ms is None:
             if now_ms - connection.idle_since_ms > self.idle_ms:
                 self.drop(sock)
             return
         try:
-            intake.check_timeout(now_ms)
+            reader.check_timeout(now_ms)
         except RequestRefused as refusal:
             self._reject(sock, refusal)
 
--- a/crankchute/adapters/http_intake.py
+++ b/crankchute/adapters/http_intake.py
@@ -46,8 +46,8 @@
 )
 
 
-class Intake:
-    """The request that is being received on a connection.
+class RequestReader:
+    """Reads and validates the requests of one connection, one at a time.
 
     Attributes:
       done: Whether the request is complete, a bool.
--- a/crankchute/adapters/http_server.py
+++ b/crankchute/adapters/http_server.py
@@ -16,7 +16,7 @@
 from circuits.web.http import HTTP
 
 from crankchute.adapters.log import log_change
-from crankchute.adapters.http_intake import DEFAULT_LIMITS, Intake
+from crankchute.adapters.http_intake import DEFAULT_LIMITS, RequestReader
 from crankchute.adapters.sockets import DirectServer
 from crankchute.errors import RequestRefused
 
@@ -180,7 +180,7 @@
         super().__init__(channel=options.get('channel', self.channel))
         self._on_request = on_request
         self._limits = options.get('limits', DEFAULT_LIMITS)
-        self._intakes = {}
+        self._readers = {}
         self._exchanges = {}
         self._discarding = set()
         self._timers = timers
@@ -222,9 +222,9 @@
         exchange = self._exchanges.pop(sock, None)
         if exchange is not None:
             exchange.on_gone = None
-        intake = self._intakes.get(sock)
-        if intake is not None:
-            intake.reset()
+        reader = self._readers.get(sock)
+        if reader is not None:
+            reader.reset()
 
     @handler('read', priority=10)
     def _on_read(self, event, sock, chunk):
@@ -235,11 +235,11 @@
             event.stop()
             self.abort(sock)
             return
-        intake = self._intakes.get(sock)
-        if intake is None:
-            intake = self._new_intake(sock)
+        reader = self._readers.get(sock)
+        if reader is None:
+            reader = self._new_reader(sock)
         try:
-            intake.feed(chunk, self._clock.now_ms())
+            reader.feed(chunk, self._clock.now_ms())
         except RequestRefused as refusal:
             event.stop()
             self._reject(sock, refusal)
@@ -262,7 +262,7 @@
 
     @handler('disconnect')
     def _on_disconnect(self, sock):
-        self._intakes.pop(sock, None)
+        self._readers.pop(sock, None)
         self._discarding.discard(sock)
         exchange = self._exchanges.pop(sock, None)
         if exchange is not None and exchange.on_gone is not None:
@@ -272,19 +272,19 @@
     def _on_ignored(self, *_args):
         """Handle events of circuits.web that need no action."""
 
-    def _new_intake(self, sock):
-        intake = Intake(
+    def _new_reader(self, sock):
+        reader = RequestReader(
             self._limits,
             lambda reply: self.write_now(sock, reply),
         )
-        self._intakes[sock] = intake
-        return intake
+        self._readers[sock] = reader
+        return reader
 
     def _check_timeouts(self):
         now_ms = self._clock.now_ms()
-        for sock, intake in tuple(self._intakes.items()):
+        for sock, reader in tuple(self._readers.items()):
             try:
-                intake.check_timeout(now_ms)
+                reader.check_timeout(now_ms)
             except RequestRefused as refusal:
                 self._reject(sock, refusal)
 
@@ -297,7 +297,7 @@
             'Connection: close\r\n\r\n'
         )
         self.write_now(sock, head.encode() + body)
-        self._intakes.pop(sock, None)
+        self._readers.pop(sock, None)
         self._discarding.add(sock)
         self._close_delayed(sock)
 
