--- a/crankchute/load/__init__.py
+++ b/crankchute/load/__init__.py
@@ -1,1 +1,1 @@
-"""The load tool: mixes, open-loop arrivals, reports."""
+"""The load generator: traffic mixes, open-loop arrivals and reports."""
--- a/crankchute/load/mix.py
+++ b/crankchute/load/mix.py
@@ -1,4 +1,4 @@
-"""Mixes of requests: who asks, in which class, and how long the prompts are."""
+"""Traffic mixes: client accounts, workload classes and prompt lengths."""
 
 import math
 import random
@@ -9,14 +9,14 @@
 
 from crankchute.errors import Finding, SettingsError
 
-_WORDS = (
+_VOCABULARY = (
     'route seat fare terminal coach manifest dispatcher complaint delay gate '
     'pallet chamber reading degree ledger truck auditor season invoice hold'
 ).split()
 _BYTES_PER_TOKEN = 4
 _DEFAULT_MAX_TOKENS = 32
 _DEFAULT_DEADLINE_MS = 30_000
-_BLOCK_WORDS = 4096
+_MAX_BLOCK_WORDS = 4096
 SCHEMA = MappingProxyType(
     {
         'type': 'array',
@@ -44,135 +44,138 @@
 
 
 class Part:
-    """One part of a mix.
+    """One kind of request in a traffic mix.
 
     Attributes:
-      account: The client account's name.
-      workload: The workload class's name.
-      weight: Its share of all requests, relative to the other parts.
-      shortest, longest: The prompt lengths, in tokens.
-      max_tokens: The length of the answers.
-      deadline_ms: Milliseconds for each request.
+      account: The name of the client account.
+      workload: The name of the workload class.
+      weight: The share of requests, relative to the other entries of the mix.
+      shortest_prompt, longest_prompt: The range of prompt lengths in tokens.
+      max_tokens: The answer length in tokens.
+      deadline_ms: The deadline of each request, in milliseconds.
     """
 
     __slots__ = (
         'account',
         'deadline_ms',
-        'longest',
+        'longest_prompt',
         'max_tokens',
-        'shortest',
+        'shortest_prompt',
         'weight',
         'workload',
     )
 
     def __init__(self, document):
-        """Create a part.
+        """Create an entry.
 
         Args:
-          document: A map that agrees with the schema.
+          document: A map that is valid under SCHEMA.
         """
         self.account = document['account']
         self.workload = document['class']
         self.weight = document.get('weight', 1)
-        self.shortest = document['tokens'][0]
-        self.longest = document['tokens'][1]
+        self.shortest_prompt = document['tokens'][0]
+        self.longest_prompt = document['tokens'][1]
         self.max_tokens = document.get('max_tokens', _DEFAULT_MAX_TOKENS)
         self.deadline_ms = document.get('deadline_ms', _DEFAULT_DEADLINE_MS)
 
-    def draw_tokens(self, source):
-        """Return a prompt length, even on a logarithmic scale.
+    def draw_prompt_length(self, rng):
+        """Return a random prompt length, log-uniformly distributed.
 
         Args:
-          source: A random.Random.
+          rng: A random.Random.
         """
-        low, high = math.log(self.shortest), math.log(self.longest)
-        return round(math.exp(source.uniform(low, high)))
+        low, high = (
+            math.log(self.shortest_prompt),
+            math.log(self.longest_prompt),
+        )
+        return round(math.exp(rng.uniform(low, high)))
 
 
 class Arrival:
-    """One request of a run: when, of which part, and how long."""
+    """A request of the load plan."""
 
-    __slots__ = ('at_ms', 'part', 'tokens')
+    __slots__ = ('at_ms', 'profile', 'tokens')
 
-    def __init__(self, at_ms, part, tokens):
+    def __init__(self, at_ms, profile, tokens):
         """Create the arrival.
 
         Args:
           at_ms: Milliseconds from the start of the run.
-          part: A Part.
-          tokens: The prompt's length.
+          profile: The entry of the mix that it belongs to.
+          tokens: The prompt length in tokens.
         """
         self.at_ms = at_ms
-        self.part = part
+        self.profile = profile
         self.tokens = tokens
 
 
-def read_mix(text, place):
-    """Read a mix.
+def read_mix(text, origin):
+    """Parse and validate a traffic mix.
 
     Args:
       text: Bytes of a JSON document.
-      place: Where it came from, for findings.
+      origin: The path or name of the source, for findings.
     Returns:
       A list of Part.
     Raises:
-      SettingsError: With every finding.
+      SettingsError: With all findings, if the mix is invalid.
     """
     try:
         document = orjson.loads(text)
     except orjson.JSONDecodeError as exc:
-        raise SettingsError([Finding(place, f'is not JSON: {exc}')]) from exc
+        raise SettingsError([Finding(origin, f'is not JSON: {exc}')]) from exc
     errors = jsonschema.Draft202012Validator(dict(SCHEMA)).iter_errors(document)
     findings = [
-        Finding(f'{place}{error.json_path[1:]}', error.message)
+        Finding(f'{origin}{error.json_path[1:]}', error.message)
         for error in errors
     ]
     if findings:
         raise SettingsError(findings)
-    return [Part(part) for part in document]
+    return [Part(profile) for profile in document]
 
 
-def plan_arrivals(parts, rate, duration_s, seed):
-    """Draw the requests of a run: open loop, exponential gaps.
+def plan_arrivals(profiles, rate, duration_s, seed):
+    """Generate open-loop Poisson arrivals.
 
     Args:
-      parts: A list of Part.
-      rate: Requests a second.
-      duration_s: Seconds.
-      seed: An int; one seed gives one plan.
+      profiles: A list of Part.
+      rate: Requests per second.
+      duration_s: The length of the run in seconds.
+      seed: An int; equal seeds give equal plans.
     Returns:
-      A list of Arrival in the order of time.
+      A list of Arrival, sorted by time.
     """
-    source = random.Random(seed)
-    weights = [part.weight for part in parts]
+    rng = random.Random(seed)
+    weights = [profile.weight for profile in profiles]
     arrivals = []
-    at_s = source.expovariate(rate)
+    at_s = rng.expovariate(rate)
     while at_s < duration_s:
-        part = source.choices(parts, weights)[0]
-        tokens = part.draw_tokens(source)
-        arrivals.append(Arrival(at_s * 1000, part, tokens))
-        at_s += source.expovariate(rate)
+        profile = rng.choices(profiles, weights)[0]
+        tokens = profile.draw_prompt_length(rng)
+        arrivals.append(Arrival(at_s * 1000, profile, tokens))
+        at_s += rng.expovariate(rate)
     return arrivals
 
 
 def make_prompt(tokens, seed, shared_tokens=0):
-    """Return a prompt of a number of tokens of four bytes.
+    """Return a pseudo-random prompt.
 
     Args:
-      tokens: The length in tokens.
-      seed: Prompts of one seed and length are equal.
-      shared_tokens: How many leading tokens are the same for all seeds.
+      tokens: The length in tokens of four bytes.
+      seed: Prompts with equal seeds and lengths are equal.
+      shared_tokens: The length of the prefix that all seeds share.
     Returns:
-      A string of exactly four times `tokens` characters.
+      A string of four times `tokens` ASCII characters.
     """
-    shared = _make_words(shared_tokens, 'shared')
-    return shared + _make_words(tokens - shared_tokens, seed)
+    shared = _make_text(shared_tokens, 'shared')
+    return shared + _make_text(tokens - shared_tokens, seed)
 
 
-def _make_words(tokens, seed):
+def _make_text(tokens, seed):
     size = tokens * _BYTES_PER_TOKEN
-    source = random.Random(seed)
-    count = min(tokens, _BLOCK_WORDS)
-    block = ' '.join(source.choices(_WORDS, k=count + 1))
+    rng = random.Random(seed)
+    count = min(tokens, _MAX_BLOCK_WORDS)
+    block = ' '.join(rng.choices(_VOCABULARY, k=count + 1))
     repeated = f'{block} ' * (size // len(block) + 1)
     return repeated[:size]
--- a/crankchute/load/report.py
+++ b/crankchute/load/report.py
@@ -1,4 +1,4 @@
-"""What a run measured: histograms by length band, as JSON and as a plot."""
+"""Reports of load runs: latency histograms by prompt length band."""
 
 from collections import Counter
 
@@ -6,29 +6,29 @@
 
 from crankchute.core.job import length_band, length_bands
 
-_LOWEST = 1
-_HIGHEST = 600_000_000
-_DIGITS = 3
+_MIN_US = 1
+_MAX_US = 600_000_000
+_SIGNIFICANT_DIGITS = 3
 _US_PER_MS = 1000
 _PERCENTILES = (50, 95, 99)
 _BAR_WIDTH = 0.25
 
 
 class Distribution:
-    """A histogram of milliseconds, kept to three digits."""
+    """A histogram of durations, with three significant digits."""
 
     def __init__(self):
         """Create an empty distribution."""
-        self._histogram = HdrHistogram(_LOWEST, _HIGHEST, _DIGITS)
+        self._histogram = HdrHistogram(_MIN_US, _MAX_US, _SIGNIFICANT_DIGITS)
 
     @property
     def count(self):
-        """How many values were added."""
+        """The number of recorded values, an int."""
         return self._histogram.get_total_count()
 
     def add(self, time_ms):
-        """Add a value in milliseconds."""
-        self._histogram.record_value(max(int(time_ms * _US_PER_MS), _LOWEST))
+        """Record a value in milliseconds."""
+        self._histogram.record_value(max(int(time_ms * _US_PER_MS), _MIN_US))
 
     def percentile(self, percent):
         """Return a percentile in milliseconds."""
@@ -40,98 +40,110 @@
         return self._histogram.get_mean_value() / _US_PER_MS
 
     def summarise(self):
-        """Return the percentiles and the mean, a map of rounded numbers."""
+        """Return the count, mean and percentiles as a map of rounded numbers."""
         if not self.count:
             return {'count': 0}
-        numbers = {
+        rounded_percentiles = {
             f'p{percent}': round(self.percentile(percent), 2)
             for percent in _PERCENTILES
         }
-        return {'count': self.count, 'mean': round(self.mean(), 2), **numbers}
+        return {
+            'count': self.count,
+            'mean': round(self.mean(), 2),
+            **rounded_percentiles,
+        }
 
 
 class LoadReport:
-    """What became of the requests of a run."""
+    """Outcomes and latencies of the requests of a load run."""
 
-    def __init__(self, alone_ms):
+    def __init__(self, unloaded_ms):
         """Create an empty report.
 
         Args:
-          alone_ms: A map from band to the time to first token of a request
-            of that band that has the fleet for itself; may lack bands.
+          unloaded_ms: A map from length band to the time to first token on an
+            idle fleet; bands may be missing.
         """
-        self._alone_ms = alone_ms
-        self._first = {band: Distribution() for band in length_bands()}
+        self._unloaded_ms = unloaded_ms
+        self._first_token = {band: Distribution() for band in length_bands()}
         self._slowdown = {band: Distribution() for band in length_bands()}
         self._outcomes = Counter()
         self._codes = Counter()
-        self._wrong = 0
+        self._wrong_answers = 0
 
-    def note(self, tokens, end, wanted):
-        """Take the end of a request.
+    def record(self, tokens, call_result, expected):
+        """Record the result of a request.
 
         Args:
-          tokens: The prompt's length.
-          end: A CallResult.
-          wanted: The whole answer that is right, or None if not checked.
+          tokens: The prompt length in tokens.
+          call_result: A CallResult.
+          expected: The correct answer, or None to skip the check.
         """
-        self._outcomes[end.outcome.value] += 1
-        if not end.is_ok:
-            self._codes[end.code] += 1
+        self._outcomes[call_result.outcome.value] += 1
+        if not call_result.is_ok:
+            self._codes[call_result.code] += 1
             return
-        if wanted is not None and end.text != wanted:
-            self._wrong += 1
+        if expected is not None and call_result.text != expected:
+            self._wrong_answers += 1
         band = length_band(tokens)
-        self._first[band].add(end.first_token_ms)
-        alone_ms = self._alone_ms.get(band)
-        if alone_ms:
-            self._slowdown[band].add(end.first_token_ms / alone_ms)
+        self._first_token[band].add(call_result.first_token_ms)
+        unloaded_ms = self._unloaded_ms.get(band)
+        if unloaded_ms:
+            self._slowdown[band].add(call_result.first_token_ms / unloaded_ms)
 
     @property
     def has_faults(self):
-        """Whether an answer was wrong or an admitted request failed."""
-        bad = self._outcomes['failed'] + self._outcomes['unknown']
-        return bool(self._wrong or bad)
+        """Whether an answer was wrong or an admitted request failed, a bool."""
+        failed = self._outcomes['failed'] + self._outcomes['unknown']
+        return bool(self._wrong_answers or failed)
 
     def summarise(self):
-        """Return the report as a JSON document."""
+        """Return the report as a JSON-serialisable map."""
         return {
             'asked': sum(self._outcomes.values()),
             'outcomes': dict(self._outcomes),
             'codes': dict(self._codes),
-            'wrong_answers': self._wrong,
-            'first_token_ms': _by_band(self._first),
+            'wrong_answers': self._wrong_answers,
+            'first_token_ms': _by_band(self._first_token),
             'slowdown': _by_band(self._slowdown),
-            'alone_ms': self._alone_ms,
+            'alone_ms': self._unloaded_ms,
         }
 
 
 def plot_report(document, path):
-    """Draw time to first token and slowdown by length band.
+    """Plot time to first token and slowdown by length band.
 
     Args:
-      document: What LoadReport.summarise returned.
-      path: Where the PNG goes.
+      document: The map from LoadReport.summarise.
+      path: The path of the PNG file.
     Raises:
       ImportError: If the extra `plot` is not installed.
     """
-    from matplotlib.figure import Figure  # noqa: PLC0415  (an extra)
+    from matplotlib.figure import Figure  # noqa: PLC0415  (optional dependency)
 
     figure = Figure(figsize=(9, 4))
     charts = figure.subplots(1, 2)
-    _draw_bars(charts[0], document['first_token_ms'], 'ms to first token')
-    _draw_bars(charts[1], document['slowdown'], 'times the time alone')
+    _draw_bars(charts[0], document['first_token_ms'], 'time to first token, ms')
+    _draw_bars(
+        charts[1], document['slowdown'], 'slowdown relative to an idle fleet'
+    )
     figure.tight_layout()
     figure.savefig(path)
 
 
 def _draw_bars(chart, bands, title):
-    names = [band for band in length_bands() if band in bands]
-    for place, percent in enumerate(_PERCENTILES):
-        heights = [bands[name][f'p{percent}'] for name in names]
-        starts = [index + place * _BAR_WIDTH for index in range(len(names))]
-        chart.bar(starts, heights, width=_BAR_WIDTH, label=f'p{percent}')
-    chart.set_xticks([index + _BAR_WIDTH for index in range(len(names))], names)
+    nonempty_bands = [band for band in length_bands() if band in bands]
+    for position, percent in enumerate(_PERCENTILES):
+        heights = [bands[name][f'p{percent}'] for name in nonempty_bands]
+        left_edges = [
+            index + position * _BAR_WIDTH
+            for index in range(len(nonempty_bands))
+        ]
+        chart.bar(left_edges, heights, width=_BAR_WIDTH, label=f'p{percent}')
+    chart.set_xticks(
+        [index + _BAR_WIDTH for index in range(len(nonempty_bands))],
+        nonempty_bands,
+    )
     chart.set_yscale('log')
     chart.set_title(title)
     chart.set_xlabel('prompt length, tokens')
--- a/crankchute/load/runner.py
+++ b/crankchute/load/runner.py
@@ -1,4 +1,4 @@
-"""Runs a plan of requests against a running system, in real time."""
+"""Sends the requests of a load plan to a running system in real time."""
 
 from functools import partial
 
@@ -9,103 +9,112 @@
 from crankchute.load.report import LoadReport
 from crankchute.standins.engine_model import expected_answer
 
-_ALONE_TRIES = 3
+_UNLOADED_SAMPLES = 3
 
 
 class LoadRunner:
-    """Sends the requests of a plan at their times, whatever comes back."""
+    """Sends the requests of a load plan at their times (open loop)."""
 
     def __init__(self, seeds, model, *, checks_answers):
         """Create a runner.
 
         Args:
-          seeds: Pairs of IP number and port of entry instances.
-          model: The model's name.
-          checks_answers: Whether answers are those of the engine stand-in.
+          seeds: Addresses of entry instances, pairs of IP address and port.
+          model: The name of the model.
+          checks_answers: Whether to compare each answer with the one that the
+            engine stand-in gives.
         """
         self._loop = Loop()
         self._seeds = seeds
         self._model = model
-        self._checks = checks_answers
+        self._checks_answers = checks_answers
         self._callers = {}
-        self._open = 0
+        self._pending = 0
 
-    def measure_alone(self, parts):
-        """Send a few requests of each band, one at a time.
+    def measure_alone(self, profiles):
+        """Measure the time to first token without concurrent requests.
 
         Args:
-          parts: A list of Part.
+          profiles: A list of Part.
         Returns:
-          A map from band to the median time to first token.
+          A map from length band to the median in milliseconds.
         """
-        alone_ms = {}
-        for part in parts:
-            for tokens in (part.shortest, part.longest):
+        unloaded_ms = {}
+        for profile in profiles:
+            for tokens in (profile.shortest_prompt, profile.longest_prompt):
                 band = length_band(tokens)
-                if band not in alone_ms:
-                    alone_ms[band] = self._measure_one(part, tokens)
+                if band not in unloaded_ms:
+                    unloaded_ms[band] = self._measure_first_token(
+                        profile, tokens
+                    )
         return {
-            band: alone_ms[band]
+            band: unloaded_ms[band]
             for band in length_bands()
-            if alone_ms.get(band)
+            if unloaded_ms.get(band)
         }
 
-    def run(self, arrivals, alone_ms):
-        """Send all requests and wait for their ends.
+    def run(self, arrivals, unloaded_ms):
+        """Send all requests and wait until they have completed.
 
         Args:
           arrivals: A list of Arrival.
-          alone_ms: What measure_alone returned, or an empty map.
+          unloaded_ms: The map from measure_alone, or an empty map.
         Returns:
           A LoadReport.
         """
-        report = LoadReport(alone_ms)
-        self._open = len(arrivals)
-        sendings = [
-            _Sending(self, report, number, arrival)
+        report = LoadReport(unloaded_ms)
+        self._pending = len(arrivals)
+        requests = [
+            _ScheduledRequest(self, report, number, arrival)
             for number, arrival in enumerate(arrivals)
         ]
-        for sending in sendings:
-            self._loop.timers.after(sending.at_ms, sending.start)
-        self._loop.run_until(lambda: not self._open)
+        for request in requests:
+            self._loop.timers.after(request.at_ms, request.start)
+        self._loop.run_until(lambda: not self._pending)
         return report
 
-    def send(self, part, prompt, on_end):
+    def send(self, profile, prompt, on_result):
         """Send one request.
 
         Args:
-          part: A Part.
+          profile: A Part.
           prompt: A string.
-          on_end: A function of a CallResult.
+          on_result: A function that is called with the CallResult.
         """
         options = CallOptions(
-            part.workload,
-            part.deadline_ms,
+            profile.workload,
+            profile.deadline_ms,
             model=self._model,
-            max_tokens=part.max_tokens,
+            max_tokens=profile.max_tokens,
         )
-        self._caller(part.account).complete(prompt, options, on_end)
+        self._find_caller(profile.account).complete(prompt, options, on_result)
 
-    def expect(self, part, prompt):
-        """Return the right answer, or None if answers are not checked."""
-        if not self._checks:
+    def find_expected_answer(self, profile, prompt):
+        """Return the expected answer, or None if answers are not checked."""
+        if not self._checks_answers:
             return None
-        return expected_answer(self._model, prompt.encode(), part.max_tokens)
+        return expected_answer(self._model, prompt.encode(), profile.max_tokens)
 
-    def note_end(self):
-        """Count a request as ended."""
-        self._open -= 1
+    def count_completed(self):
+        """Count a request as completed."""
+        self._pending -= 1
 
-    def _measure_one(self, part, tokens):
-        ends = []
-        for number in range(_ALONE_TRIES):
+    def _measure_first_token(self, profile, tokens):
+        call_results = []
+        for number in range(_UNLOADED_SAMPLES):
             prompt = make_prompt(tokens, f'alone-{tokens}-{number}')
-            self.send(part, prompt, ends.append)
-            self._loop.run_until(partial(_has_length, ends, number + 1))
-        times = sorted(end.first_token_ms for end in ends if end.is_ok)
+            self.send(profile, prompt, call_results.append)
+            self._loop.run_until(
+                partial(_has_results, call_results, number + 1)
+            )
+        times = sorted(
+            call_result.first_token_ms
+            for call_result in call_results
+            if call_result.is_ok
+        )
         return times[len(times) // 2] if times else None
 
-    def _caller(self, account):
+    def _find_caller(self, account):
         caller = self._callers.get(account)
         if caller is None:
             channel = f'caller-{len(self._callers)}'
@@ -114,19 +123,19 @@
         return caller
 
 
-def _has_length(ends, length):
-    return len(ends) >= length
+def _has_results(call_results, count):
+    return len(call_results) >= count
 
 
-class _Sending:
-    """One request of a run."""
+class _ScheduledRequest:
+    """Sends one request of the plan and records its result."""
 
     __slots__ = (
         '_arrival',
         '_prompt',
         '_report',
         '_runner',
-        '_wanted',
+        '_expected',
         'at_ms',
     )
 
@@ -135,12 +144,14 @@
         self._report = report
         self._arrival = arrival
         self._prompt = make_prompt(arrival.tokens, number)
-        self._wanted = runner.expect(arrival.part, self._prompt)
+        self._expected = runner.find_expected_answer(
+            arrival.profile, self._prompt
+        )
         self.at_ms = arrival.at_ms
 
     def start(self):
-        self._runner.send(self._arrival.part, self._prompt, self._on_end)
+        self._runner.send(self._arrival.profile, self._prompt, self._on_result)
 
-    def _on_end(self, end):
-        self._runner.note_end()
-        self._report.note(self._arrival.tokens, end, self._wanted)
+    def _on_result(self, call_result):
+        self._runner.count_completed()
+        self._report.record(self._arrival.tokens, call_result, self._expected)
