--- a/crankchute/standins/ports.py
+++ b/crankchute/standins/ports.py
@@ -1,9 +1,7 @@
-"""Ports for the processes of a run, which nothing else takes meanwhile.
+"""Allocates TCP ports for the processes of a test run.
 
-A port that the kernel gives out is in the range from which outgoing
-connections take theirs, so one of those can take it before the process that it
-is meant for.  Ports are taken from below that range, and runs side by side
-take them from parts of their own.
+Ports come from below the ephemeral range, so that no outgoing connection can
+take one before the server binds it.  Parallel runs use different subranges.
 """
 
 import itertools
@@ -11,42 +9,44 @@
 import socket
 
 LOOPBACK = '127.0.0.1'
-_FIRST = 12_000
-_PARTS = 16
-_PART_SIZE = 1_200
-#: Processes whose ids follow each other begin so many ports apart.
-_STRIDE = 151
-_WORKER = 'PYTEST_XDIST_WORKER'
+_FIRST_PORT = 12_000
+_SUBRANGES = 16
+_SUBRANGE_SIZE = 1_200
+#: Distance between the first ports of processes with consecutive ids.
+_PROCESS_STRIDE = 151
+_WORKER_VARIABLE = 'PYTEST_XDIST_WORKER'
 
 
-def _choose_part():
-    """Return the part of this process: by test worker, or by its id."""
-    worker = os.environ.get(_WORKER, '')
+def _choose_subrange():
+    """Return the index of the subrange, from the test worker or process id."""
+    worker = os.environ.get(_WORKER_VARIABLE, '')
     if worker:
-        return int(worker.removeprefix('gw')) % (_PARTS // 2)
-    return _PARTS // 2 + os.getpid() % (_PARTS // 2)
+        return int(worker.removeprefix('gw')) % (_SUBRANGES // 2)
+    return _SUBRANGES // 2 + os.getpid() % (_SUBRANGES // 2)
 
 
-def _list_part():
-    """Return the ports of this process's part, from anywhere in it on.
+def _list_subrange():
+    """Return the ports of the subrange, rotated by process id.
 
-    Runs side by side may have the same part; where each began at its first
-    port, one took ports that the other had picked and not yet used.
+    Parallel runs may share a subrange; different first ports keep them from
+    picking a port that another run has picked but not yet bound.
     """
-    first = _FIRST + _choose_part() * _PART_SIZE
-    begin = os.getpid() * _STRIDE % _PART_SIZE
-    ports = range(first, first + _PART_SIZE)
-    return [*ports[begin:], *ports[:begin]]
+    first_port = _FIRST_PORT + _choose_subrange() * _SUBRANGE_SIZE
+    offset = os.getpid() * _PROCESS_STRIDE % _SUBRANGE_SIZE
+    ports = range(first_port, first_port + _SUBRANGE_SIZE)
+    return [*ports[offset:], *ports[:offset]]
 
 
-_candidates = itertools.cycle(_list_part())
+_candidates = itertools.cycle(_list_subrange())
 
 
 def pick_ports(count):
-    """Return free ports of the loopback interface, none of them used lately.
+    """Return free ports of the loopback interface.
+
+    A port is reused only after all others of the subrange were tried.
 
     Args:
-      count: How many.
+      count: The number of ports.
     Returns:
       A list of ints.
     """
