--- a/crankchute/standins/__init__.py
+++ b/crankchute/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins of the outside systems, for tests and measurements."""
+"""Simulated external systems for tests and benchmarks."""
--- a/crankchute/standins/engine_memory.py
+++ b/crankchute/standins/engine_memory.py
@@ -1,22 +1,22 @@
-"""The KV memory of an engine stand-in: works, holds, and cached blocks."""
+"""KV memory of the engine stand-in: requests, holds and the prefix cache."""
 
 from collections import OrderedDict
 
 _BLOCK_TOKENS = 1024
-_EVENTS_KEPT = 512
+_MAX_EVENTS = 512
 
 
 class Hold:
-    """Memory set aside for a segment, with what was prefilled into it."""
+    """Memory reserved for a group, with the results of its segments."""
 
     __slots__ = ('carries', 'expiry_ms', 'tokens')
 
     def __init__(self, tokens, expiry_ms):
-        """Create an empty hold.
+        """Create a hold without segments.
 
         Args:
-          tokens: Its size.
-          expiry_ms: When it is freed whoever made it.
+          tokens: Its size in tokens.
+          expiry_ms: When the engine frees it, even without a release.
         """
         self.tokens = tokens
         self.expiry_ms = expiry_ms
@@ -24,7 +24,7 @@
 
 
 class CacheEvent:
-    """What changed in the prefix cache, with its number."""
+    """A numbered change of the prefix cache."""
 
     __slots__ = ('at_ms', 'evicted', 'sequence', 'stored')
 
@@ -32,8 +32,8 @@
         """Create the event.
 
         Args:
-          sequence: Its number.
-          at_ms: When it happened.
+          sequence: The sequence number.
+          at_ms: The time of the change in milliseconds.
           stored: Hashes of stored blocks.
           evicted: Hashes of evicted blocks.
         """
@@ -44,23 +44,25 @@
 
 
 class EngineMemory:
-    """Counts memory in tokens; cached blocks yield to everything else.
+    """Accounts for KV memory in tokens.
+
+    Cached blocks are evicted whenever requests or holds need their memory.
 
     Attributes:
-      total: All memory, in tokens.
-      holds: A map from group to Hold.
-      events: The newest CacheEvents, oldest first.
+      total: The size of the memory in tokens.
+      holds: A map from group id to Hold.
+      events: The latest CacheEvents, oldest first.
     """
 
     def __init__(self, total, clock):
         """Create empty memory.
 
         Args:
-          total: Its size in tokens.
+          total: The size in tokens.
           clock: A Clock.
         """
         self._clock = clock
-        self._taken = {}
+        self._allocations = {}
         self._cache = OrderedDict()
         self._sequence = 0
         self.total = total
@@ -69,43 +71,43 @@
 
     @property
     def pinned(self):
-        """Tokens that works and holds occupy, an int."""
-        held = sum(hold.tokens for hold in self.holds.values())
-        return sum(self._taken.values()) + held
+        """Tokens that requests and holds occupy, an int."""
+        held_tokens = sum(hold.tokens for hold in self.holds.values())
+        return sum(self._allocations.values()) + held_tokens
 
     @property
     def free_tokens(self):
-        """Tokens that are free or cached only, an int."""
+        """Tokens that are free or occupied by the cache only, an int."""
         return self.total - self.pinned
 
-    def take(self, key, tokens):
-        """Take memory for a work.
+    def allocate(self, key, tokens):
+        """Allocate memory for a request.
 
         Args:
-          key: The work's key.
-          tokens: How much.
+          key: The key of the request.
+          tokens: The size in tokens.
         Returns:
-          False if there is not enough.
+          False if there is not enough memory.
         """
         if tokens > self.free_tokens:
             return False
-        self._taken[key] = tokens
+        self._allocations[key] = tokens
         self._evict()
         return True
 
     def free(self, key):
-        """Free a work's memory."""
-        self._taken.pop(key, None)
+        """Free the memory of a request, if any."""
+        self._allocations.pop(key, None)
 
     def hold(self, group, tokens, expiry_ms):
-        """Set memory aside for a group.
+        """Reserve memory for a group; repeating the call has no effect.
 
         Args:
-          group: The group's id.
-          tokens: How much.
-          expiry_ms: When it is freed by itself.
+          group: The group id.
+          tokens: The size in tokens.
+          expiry_ms: When the hold expires.
         Returns:
-          False if there is not enough.
+          False if there is not enough memory.
         """
         if group in self.holds:
             return True
@@ -116,21 +118,21 @@
         return True
 
     def release(self, group):
-        """Free what a group holds."""
+        """Free the hold of a group, if any."""
         self.holds.pop(group, None)
 
     def release_expired(self):
-        """Free the holds whose time is over."""
+        """Free the expired holds."""
         now_ms = self._clock.now_ms()
         for group, hold in tuple(self.holds.items()):
             if hold.expiry_ms < now_ms:
                 self.holds.pop(group)
 
-    def count_cached(self, blocks):
-        """Return how many tokens of a prompt are cached.
+    def count_cached_tokens(self, blocks):
+        """Return the length of the cached prefix of a prompt, in tokens.
 
         Args:
-          blocks: The chained hashes of the prompt's blocks.
+          blocks: The chained hashes of the blocks of the prompt.
         """
         count = 0
         for block in blocks:
@@ -141,28 +143,28 @@
         return count * _BLOCK_TOKENS
 
     def store_blocks(self, blocks):
-        """Cache the blocks of a prompt as far as memory is free.
+        """Cache the blocks of a prompt, as far as there is free memory.
 
         Args:
-          blocks: The chained hashes of the prompt's blocks.
+          blocks: The chained hashes of the blocks of the prompt.
         """
         stored = [block for block in blocks if block not in self._cache]
         for block in stored:
             self._cache[block] = True
         evicted = self._evict()
         if stored or evicted:
-            self._note(stored, evicted)
+            self._record_event(stored, evicted)
 
     def _evict(self):
-        room = self.free_tokens // _BLOCK_TOKENS
+        capacity = self.free_tokens // _BLOCK_TOKENS
         evicted = []
-        while len(self._cache) > max(room, 0):
+        while len(self._cache) > max(capacity, 0):
             evicted.append(self._cache.popitem(last=False)[0])
         return evicted
 
-    def _note(self, stored, evicted):
+    def _record_event(self, stored, evicted):
         self._sequence += 1
         now_ms = self._clock.now_ms()
         event = CacheEvent(self._sequence, now_ms, stored, evicted)
         self.events.append(event)
-        self.events = self.events[-_EVENTS_KEPT:]
+        self.events = self.events[-_MAX_EVENTS:]
--- a/crankchute/standins/engine_model.py
+++ b/crankchute/standins/engine_model.py
@@ -1,9 +1,9 @@
-"""A model engine in small: batches, memory, priorities and a prefix cache.
+"""A simulated inference engine with continuous batching.
 
-It computes no model.  Each step spends a budget of tokens on the streams that
-generate and then on prompts, by priority; memory is counted in tokens.  The
-answer to a prompt is a function of the model and of every byte of the prompt,
-so that a test can tell a whole answer from any other.
+Each step spends a token budget first on decoding and then on prefill, in order
+of priority.  Memory is counted in tokens.  The answer is a deterministic
+function of the model name and of all bytes of the prompt, so that tests detect
+any truncated or misrouted answer.
 """
 
 import itertools
@@ -13,7 +13,7 @@
 from crankchute.standins.engine_memory import EngineMemory
 
 _DECODE_MS = 0.02
-_MOST_WAITING = 256
+_MAX_WAITING = 256
 _MEMORY_TOKENS = 400_000
 _STEP_TOKENS = 2048
 _STEP_MS = 5
@@ -24,11 +24,11 @@
     """The size and speed of an engine.
 
     Attributes:
-      memory_tokens: KV memory in tokens.
-      step_tokens: The budget of a step, in tokens.
-      step_ms: The shortest duration of a step, in milliseconds.
-      token_ms: Milliseconds that a prompt token adds to a step.
-      bytes_per_token: The tokenizer, such as it is.
+      memory_tokens: The size of the KV memory in tokens.
+      step_tokens: The token budget of a step.
+      step_ms: The fixed duration of a step, in milliseconds.
+      token_ms: Milliseconds that each prompt token adds to a step.
+      bytes_per_token: The fixed token length, instead of a tokenizer.
     """
 
     __slots__ = (
@@ -43,7 +43,7 @@
         """Create the settings.
 
         Args:
-          fields: Attributes that differ from their defaults.
+          fields: Values for the attributes; the others get their defaults.
         """
         self.memory_tokens = fields.get('memory_tokens', _MEMORY_TOKENS)
         self.step_tokens = fields.get('step_tokens', _STEP_TOKENS)
@@ -53,24 +53,29 @@
 
     @property
     def prefill_rate(self):
-        """Prompt tokens worked off in a millisecond at full budget."""
+        """Prompt tokens prefilled per millisecond when steps are full."""
         return self.step_tokens / (
             self.step_ms + self.step_tokens * self.token_ms
         )
 
 
 class Work:
-    """A prompt that is prefilled, and perhaps answered.
+    """A request on the engine: prefill and, unless it is a segment, decoding.
 
     Attributes:
-      key: Identifies the work on the engine.
-      priority: 0 (first) and up.
+      key: Identifies the request on the engine.
+      priority: An int; 0 is served first.
       left: Prompt tokens that are not prefilled yet.
-      crc: The checksum of all the prompt, which seeds the answer.
-      max_tokens: The length of the answer; 0 for a segment of a group.
-      offset: The next token's index.
-      on_token: A function of the offset and the token.
-      on_done: A function of the work; called at its end.
+      need: KV memory that it occupies, in tokens.
+      crc: The checksum of the whole prompt, which determines the answer.
+      blocks: The chained hashes of the blocks of the prompt.
+      max_tokens: The answer length; 0 for a segment of a group.
+      offset: The index of the next token of the answer.
+      deadline_ms: When the engine drops the request.
+      on_token: A function that is called with each offset and token.
+      on_done: A function that is called with the request at its end, or
+        with None at its deadline.
+      sequence: The order of submission.
     """
 
     __slots__ = (
@@ -84,16 +89,16 @@
         'offset',
         'on_done',
         'on_token',
-        'order',
+        'sequence',
         'priority',
     )
 
     def __init__(self, key, **fields):
-        """Create the work.
+        """Create the request.
 
         Args:
-          key: Identifies the work on the engine.
-          fields: A value for each other attribute but the order.
+          key: Identifies the request on the engine.
+          fields: Values for the other attributes except the sequence.
         """
         self.key = key
         self.priority = fields['priority']
@@ -106,17 +111,17 @@
         self.deadline_ms = fields['deadline_ms']
         self.on_token = fields.get('on_token')
         self.on_done = fields['on_done']
-        self.order = 0
+        self.sequence = 0
 
 
 class EngineModel:
-    """The batching loop of one engine, on a timer service.
+    """The scheduler of one engine, driven by a timer service.
 
     Attributes:
       memory: The EngineMemory.
       settings: The EngineSettings.
-      prefilled_tokens: How many prompt tokens were worked off, an int.
-      generated_tokens: How many tokens were generated, an int.
+      prefilled_tokens: The number of prefilled prompt tokens, an int.
+      generated_tokens: The number of generated tokens, an int.
     """
 
     def __init__(self, timers, settings):
@@ -127,7 +132,7 @@
           settings: EngineSettings.
         """
         self._timers = timers
-        self._orders = itertools.count()
+        self._sequence_numbers = itertools.count()
         self._waiting = {}
         self._running = {}
         self._stepping = False
@@ -139,12 +144,14 @@
     @property
     def queued_tokens(self):
         """Prompt tokens that are not prefilled yet, an int."""
-        works = itertools.chain(self._waiting.values(), self._running.values())
-        return sum(work.left for work in works)
+        requests = itertools.chain(
+            self._waiting.values(), self._running.values()
+        )
+        return sum(work.left for work in requests)
 
     @property
     def queued_by_priority(self):
-        """Prompt tokens that wait, as a map from priority to tokens."""
+        """Prompt tokens not prefilled yet, a map from priority to tokens."""
         queued = Counter()
         for work in (*self._waiting.values(), *self._running.values()):
             queued[work.priority] += work.left
@@ -152,12 +159,12 @@
 
     @property
     def running(self):
-        """How many answers are being generated."""
+        """The number of requests that are decoding, an int."""
         return len([work for work in self._running.values() if not work.left])
 
     @property
-    def work_count(self):
-        """How many works wait or run."""
+    def request_count(self):
+        """The number of waiting and running requests, an int."""
         return len(self._waiting) + len(self._running)
 
     def count_tokens(self, prompt):
@@ -165,47 +172,47 @@
         return -(-len(prompt) // self.settings.bytes_per_token)
 
     def accepts(self, need):
-        """Tell whether work of a size can be taken at all now.
+        """Return whether a request can be queued now.
 
         Args:
-          need: The memory it needs, in tokens.
+          need: The KV memory that it needs, in tokens.
         """
         if need > self.settings.memory_tokens:
             return False
-        return len(self._waiting) < _MOST_WAITING
+        return len(self._waiting) < _MAX_WAITING
 
     def submit(self, work):
-        """Queue work; it starts when memory is free.
+        """Queue a request; it starts once enough memory is free.
 
         Args:
           work: A Work.
         """
-        work.order = next(self._orders)
+        work.sequence = next(self._sequence_numbers)
         self._waiting[work.key] = work
-        self._wake()
+        self._ensure_stepping()
 
     def cancel(self, key):
-        """Drop work and free its memory; its on_done is not called.
+        """Drop a request and free its memory, without calling its on_done.
 
         Args:
-          key: The work's key.
+          key: The key of the request.
         """
         self._waiting.pop(key, None)
         if self._running.pop(key, None) is not None:
             self.memory.free(key)
 
-    def _wake(self):
+    def _ensure_stepping(self):
         if not self._stepping:
             self._stepping = True
-            self._begin_step()
+            self._start_step()
 
-    def _begin_step(self):
+    def _start_step(self):
         self._drop_expired()
-        self._admit()
-        works = self._in_order(self._running)
-        decoding = [work for work in works if not work.left]
+        self._start_waiting()
+        requests = self._sort_by_priority(self._running)
+        decoding = [work for work in requests if not work.left]
         budget = max(self.settings.step_tokens - len(decoding), 0)
-        chunks = self._share_budget(works, budget)
+        chunks = self._split_budget(requests, budget)
         if not decoding and not chunks:
             self._stepping = False
             return
@@ -214,38 +221,38 @@
         duration_ms += prompt_tokens * self.settings.token_ms
         self._timers.after(
             duration_ms,
-            lambda: self._end_step(decoding, chunks),
+            lambda: self._finish_step(decoding, chunks),
         )
 
-    def _end_step(self, decoding, chunks):
+    def _finish_step(self, decoding, chunks):
         for work in decoding:
-            self._emit(work)
+            self._emit_token(work)
         for work, tokens in chunks:
             work.left -= tokens
             self.prefilled_tokens += tokens
             if not work.left:
-                self._end_prefill(work)
-        self._begin_step()
+                self._finish_prefill(work)
+        self._start_step()
 
-    def _share_budget(self, works, budget):
+    def _split_budget(self, requests, budget):
         chunks = []
-        for work in works:
+        for work in requests:
             tokens = min(work.left, budget)
             if tokens:
                 chunks.append((work, tokens))
                 budget -= tokens
         return chunks
 
-    def _end_prefill(self, work):
+    def _finish_prefill(self, work):
         if work.key not in self._running:
             return
         self.memory.store_blocks(work.blocks)
         if work.max_tokens:
-            self._emit(work)
+            self._emit_token(work)
         else:
-            self._finish(work)
+            self._complete(work)
 
-    def _emit(self, work):
+    def _emit_token(self, work):
         if work.key not in self._running:
             return
         if work.offset < work.max_tokens:
@@ -254,39 +261,43 @@
             self.generated_tokens += 1
             work.on_token(work.offset - 1, token)
         if work.offset >= work.max_tokens:
-            self._finish(work)
+            self._complete(work)
 
-    def _finish(self, work):
+    def _complete(self, work):
         self._running.pop(work.key, None)
         self.memory.free(work.key)
         work.on_done(work)
 
-    def _admit(self):
-        for work in self._in_order(self._waiting):
-            if not self.memory.take(work.key, work.need):
+    def _start_waiting(self):
+        for work in self._sort_by_priority(self._waiting):
+            if not self.memory.allocate(work.key, work.need):
                 break
             self._waiting.pop(work.key)
-            cached = self.memory.count_cached(work.blocks)
+            cached = self.memory.count_cached_tokens(work.blocks)
             work.left = max(work.left - cached, 1)
             self._running[work.key] = work
 
     def _drop_expired(self):
         now_ms = self._timers.clock.now_ms()
-        for works in (self._waiting, self._running):
-            late = [one for one in works.values() if one.deadline_ms < now_ms]
-            for work in late:
+        for requests in (self._waiting, self._running):
+            expired = [
+                request
+                for request in requests.values()
+                if request.deadline_ms < now_ms
+            ]
+            for work in expired:
                 self.cancel(work.key)
                 work.on_done(None)
 
-    def _in_order(self, works):
-        return sorted(works.values(), key=_order_of)
+    def _sort_by_priority(self, requests):
+        return sorted(requests.values(), key=_scheduling_key)
 
 
-def seed_answer(model):
-    """Return the checksum that a prompt's checksum starts from.
+def initial_checksum(model):
+    """Return the initial value for the checksum of a prompt.
 
     Args:
-      model: The model's name.
+      model: The name of the model.
     """
     return zlib.crc32(model.encode())
 
@@ -295,25 +306,25 @@
     """Return one token of an answer.
 
     Args:
-      crc: The checksum of the model and the whole prompt.
-      offset: The token's index.
+      crc: The checksum of the model name and the whole prompt.
+      offset: The index of the token.
     """
     return f'{zlib.crc32(offset.to_bytes(4, "big"), crc):08x} '
 
 
 def expected_answer(model, prompt, max_tokens):
-    """Return the whole answer that engines give to a prompt.
+    """Return the complete answer of the simulated engines to a prompt.
 
     Args:
-      model: The model's name.
+      model: The name of the model.
       prompt: Bytes.
-      max_tokens: The answer's length in tokens.
+      max_tokens: The answer length in tokens.
     Returns:
       A string.
     """
-    crc = zlib.crc32(prompt, seed_answer(model))
+    crc = zlib.crc32(prompt, initial_checksum(model))
     return ''.join(make_token(crc, offset) for offset in range(max_tokens))
 
 
-def _order_of(work):
-    return (work.priority, work.order)
+def _scheduling_key(work):
+    return (work.priority, work.sequence)
--- a/crankchute/standins/engine_server.py
+++ b/crankchute/standins/engine_server.py
@@ -1,4 +1,4 @@
-"""The HTTP interface of the engine stand-in."""
+"""HTTP server of the engine stand-in."""
 
 import secrets
 import zlib
@@ -13,35 +13,35 @@
 from crankchute.core.prefix import hash_blocks
 from crankchute.ports.http import WholeResponse
 from crankchute.standins.engine_loading import ModelLoader
-from crankchute.standins.engine_model import EngineModel, Work, seed_answer
+from crankchute.standins.engine_model import EngineModel, Work, initial_checksum
 from crankchute.standins.faults import Fault, FaultMode
 
 _SNAPSHOT_MS = 200
-_SWEEP_MS = 250
+_EXPIRY_SWEEP_MS = 250
 _BUSY_RETRY_MS = 100
-_CROSSED_ID = 'somebody-else'
+_OTHER_REQUEST_ID = 'somebody-else'
 routes = Routes()
 
 
 class Generation:
-    """One streamed answer, with the faults that hit it."""
+    """A streamed answer, with an optional injected fault."""
 
-    __slots__ = ('_engine', '_exchange', '_fault', '_head', '_held', 'key')
+    __slots__ = ('_engine', '_exchange', '_fault', '_header', '_buffer', 'key')
 
     def __init__(self, engine, exchange, order, fault):
-        """Create the record.
+        """Create the stream for a request.
 
         Args:
           engine: The EngineServer.
           exchange: The Exchange.
-          order: The request's document.
-          fault: The mode in effect for this answer.
+          order: The document of the request.
+          fault: The FaultMode to inject into this answer.
         """
         self._engine = engine
         self._exchange = exchange
         self._fault = fault
-        self._held = []
-        self._head = {
+        self._buffer = []
+        self._header = {
             'id': order['request_id'],
             'attempt': order['attempt'],
             'boot': engine.boot,
@@ -49,7 +49,7 @@
         self.key = (order['request_id'], order['attempt'], secrets.token_hex(4))
 
     def on_token(self, offset, token):
-        """Send one token, or what the fault makes of it."""
+        """Send a token, subject to the injected fault."""
         if self._fault == FaultMode.FREEZE:
             return
         if self._fault == FaultMode.TRUNCATE and offset == 2:
@@ -57,52 +57,52 @@
             self._exchange.finish()
             return
         if self._fault == FaultMode.CROSS and offset % 3 == 1:
-            crossed = dict(self._head, id=_CROSSED_ID)
+            crossed = dict(self._header, id=_OTHER_REQUEST_ID)
             self._send(crossed, offset, ['crossed '])
         if self._fault == FaultMode.DROP and offset == 2:
             return
-        self._held.append(token)
-        if len(self._held) < self._engine.tokens_per_event:
+        self._buffer.append(token)
+        if len(self._buffer) < self._engine.tokens_per_event:
             return
         self._flush(offset + 1)
 
     def on_done(self, work):
-        """Send the end mark, or break the stream off after an expiry."""
+        """Send the end mark, or abort the stream if the request expired."""
         if self._fault == FaultMode.FREEZE:
             return
         if work is None:
             self._exchange.abort()
             return
         self._flush(work.offset)
-        end = dict(self._head, offset=work.offset, count=work.max_tokens)
+        end = dict(self._header, offset=work.offset, count=work.max_tokens)
         self._exchange.send(write_event(end) + DONE)
         self._exchange.finish()
 
     def on_gone(self):
-        """Free everything when the caller is gone."""
+        """Cancel the request after a disconnect of the client."""
         self._engine.model.cancel(self.key)
 
     def _flush(self, next_offset):
-        tokens = self._held
+        tokens = self._buffer
         if not tokens:
             return
-        self._held = []
+        self._buffer = []
         first = next_offset - len(tokens)
-        self._send(self._head, first, tokens)
+        self._send(self._header, first, tokens)
         if self._fault == FaultMode.DUPLICATE:
-            self._send(self._head, first, tokens)
+            self._send(self._header, first, tokens)
 
-    def _send(self, head, offset, tokens):
-        event = dict(head, offset=offset, tokens=tokens)
+    def _send(self, header, offset, tokens):
+        event = dict(header, offset=offset, tokens=tokens)
         self._exchange.send(write_event(event))
 
 
 class EngineServer:
-    """An engine stand-in on the network.
+    """The engine stand-in as an HTTP server.
 
     Attributes:
       boot: The random id of this incarnation.
-      tokens_per_event: How many tokens an event of a stream carries.
+      tokens_per_event: The number of tokens in each event of a stream.
       model: The EngineModel.
       loader: The ModelLoader.
     """
@@ -112,15 +112,15 @@
 
         Args:
           loop: The Loop.
-          bind: A pair of IP number and port.
+          bind: A pair of IP address and port.
           settings: EngineSettings.
-          options: `models` (a map of names to versions held at the start),
-            `checks_fences` (a bool), `weights` (the weight store's address
-            or None), `tokens_per_event` (how many tokens an event carries).
+          options: `models` (a map from name to version, loaded at the start),
+            `checks_fences` (a bool), `weights` (the address of the weight
+            store or None), `tokens_per_event` (an int).
         """
         self._timers = loop.timers
         self._fault = Fault()
-        self._leaving = False
+        self._draining = False
         self._snapshots = []
         self.tokens_per_event = options.get('tokens_per_event', 1)
         self.boot = secrets.token_hex(4)
@@ -134,16 +134,16 @@
             loop.timers,
             channel=f'engine-{bind[1]}',
         ).register(loop)
-        loop.timers.every(_SWEEP_MS, self.model.memory.release_expired)
+        loop.timers.every(_EXPIRY_SWEEP_MS, self.model.memory.release_expired)
         loop.timers.every(_SNAPSHOT_MS, self._take_snapshot)
         self._take_snapshot()
 
     @routes.add('POST', '/v1/generate')
     def generate(self, exchange):
-        """Answer a prompt with a stream."""
+        """Stream the answer to a prompt."""
         order = read_json(exchange)
-        fault = self._fault.take()
-        if fault == FaultMode.REFUSE or self._leaving:
+        fault = self._fault.next_mode()
+        if fault == FaultMode.REFUSE or self._draining:
             _refuse(exchange, 'leaving', None)
             return
         if order['model'] not in self.loader.models:
@@ -153,18 +153,18 @@
             delay_ms = self._fault.delay_ms
             self._timers.after(
                 delay_ms,
-                lambda: self._import(exchange, order, fault),
+                lambda: self._start_after_imports(exchange, order, fault),
             )
             return
-        self._import(exchange, order, fault)
+        self._start_after_imports(exchange, order, fault)
 
     @routes.add('POST', '/v1/holds')
-    def hold(self, exchange):
-        """Set memory aside for a group."""
+    def reserve(self, exchange):
+        """Reserve memory for a group."""
         order = read_json(exchange)
         expiry_ms = self._timers.clock.now_ms() + order['deadline_ms']
         memory = self.model.memory
-        if self._leaving or not memory.hold(
+        if self._draining or not memory.hold(
             order['group'],
             order['tokens'],
             expiry_ms,
@@ -174,23 +174,23 @@
         exchange.reply(HTTPStatus.OK, {})
 
     @routes.add('POST', '/v1/holds/release')
-    def release(self, exchange):
-        """Free what a group holds."""
+    def release_hold(self, exchange):
+        """Free the hold of a group."""
         self.model.memory.release(read_json(exchange)['group'])
         exchange.reply(HTTPStatus.OK, {})
 
     @routes.add('POST', '/v1/segments')
-    def prefill(self, exchange):
-        """Prefill one segment of a group and keep it for import."""
+    def prefill_segment(self, exchange):
+        """Prefill a segment of a group and keep the result for export."""
         order = read_json(exchange)
         hold = self.model.memory.holds.get(order['group'])
         if hold is None:
             _refuse(exchange, 'no_hold', None)
             return
         prompt = order['prompt'].encode()
-        crc = zlib.crc32(prompt, _read_carry(order))
+        crc = zlib.crc32(prompt, _read_checksum(order))
 
-        def finish(work):
+        def on_done(work):
             if work is None:
                 exchange.abort()
                 return
@@ -206,14 +206,14 @@
             crc=crc,
             max_tokens=0,
             deadline_ms=self._timers.clock.now_ms() + order['deadline_ms'],
-            on_done=finish,
+            on_done=on_done,
         )
         exchange.on_gone = lambda: self.model.cancel(key)
         self.model.submit(work)
 
     @routes.add('GET', '/v1/kv')
-    def export(self, exchange):
-        """Export what a segment left, for another engine to import."""
+    def export_segment(self, exchange):
+        """Return the result of a segment, for import by another engine."""
         query = read_query(exchange)
         hold = self.model.memory.holds.get(query['group'])
         carry = hold and hold.carries.get(int(query['index']))
@@ -223,22 +223,27 @@
         exchange.reply(HTTPStatus.OK, {'carry': carry})
 
     @routes.add('GET', '/v1/load')
-    def report(self, exchange):
-        """Report load with a lag, and cache events late and with gaps."""
-        since = int(read_query(exchange).get('since', '0'))
+    def report_load(self, exchange):
+        """Report the load and the cache events.
+
+        Both lag behind, as those of real engines do; the fault mode `gap`
+        drops an event.
+        """
+        after_sequence = int(read_query(exchange).get('since', '0'))
         snapshot = self._snapshots[0]
         now_ms = self._timers.clock.now_ms()
         events = [
             [event.sequence, event.stored, event.evicted]
             for event in self.model.memory.events
-            if event.sequence > since and event.at_ms < now_ms - _SNAPSHOT_MS
+            if event.sequence > after_sequence
+            and event.at_ms < now_ms - _SNAPSHOT_MS
         ]
         if self._fault.mode == FaultMode.GAP:
             events = events[1:]
         document = dict(
             snapshot,
             boot=self.boot,
-            leaving=self._leaving,
+            leaving=self._draining,
             models=self.loader.models,
             adapters=self.loader.adapters,
             role=self.loader.role,
@@ -248,36 +253,36 @@
         exchange.reply(HTTPStatus.OK, document)
 
     @routes.add('POST', '/v1/orders')
-    def order(self, exchange):
-        """Take a fenced order for what to hold."""
-        if self.loader.take(read_json(exchange)):
+    def apply_order(self, exchange):
+        """Apply a fenced order about the models to load."""
+        if self.loader.apply_order(read_json(exchange)):
             exchange.reply(HTTPStatus.OK, {'models': self.loader.models})
         else:
             _refuse(exchange, 'stale_fence', None)
 
     @routes.add('POST', '/admin/fault')
-    def arrange_fault(self, exchange):
-        """Take a fault."""
-        self._fault.arrange(read_json(exchange))
+    def configure_fault(self, exchange):
+        """Set the fault to inject."""
+        self._fault.configure(read_json(exchange))
         exchange.reply(HTTPStatus.OK, {})
 
     @routes.add('POST', '/admin/leave')
-    def leave(self, exchange):
-        """Take no new work from now on."""
-        self._leaving = True
+    def start_draining(self, exchange):
+        """Refuse new requests from now on."""
+        self._draining = True
         exchange.reply(HTTPStatus.OK, {})
 
     @routes.add('GET', '/admin/state')
-    def state(self, exchange):
-        """Tell what the engine holds, for tests."""
+    def report_state(self, exchange):
+        """Report the internal state, for tests."""
         memory = self.model.memory
         document = {
             'pinned': memory.pinned,
             'holds': len(memory.holds),
-            'works': self.model.work_count,
+            'works': self.model.request_count,
             'prefilled': self.model.prefilled_tokens,
             'generated': self.model.generated_tokens,
-            'started': self.loader.orders_taken,
+            'started': self.loader.applied_orders,
             'models': self.loader.models,
         }
         exchange.reply(HTTPStatus.OK, document)
@@ -285,11 +290,11 @@
     def _on_request(self, exchange):
         routes.dispatch(self, exchange)
 
-    def _import(self, exchange, order, fault):
+    def _start_after_imports(self, exchange, order, fault):
         imports = list(order.get('imports', ()))
-        self._import_next(exchange, order, fault, imports)
+        self._import_next_segment(exchange, order, fault, imports)
 
-    def _import_next(self, exchange, order, fault, imports):
+    def _import_next_segment(self, exchange, order, fault, imports):
         if not imports:
             self._start(exchange, order, fault)
             return
@@ -297,19 +302,21 @@
         host, port = segment['address']
         path = f'/v1/kv?group={segment["group"]}&index={segment["index"]}'
 
-        def take(status, _body):
+        def on_response(status, _body):
             if status == HTTPStatus.OK:
                 order['carry'] = segment['carry']
-                self._import_next(exchange, order, fault, imports)
+                self._import_next_segment(exchange, order, fault, imports)
             else:
                 _refuse(exchange, 'import_failed', _BUSY_RETRY_MS)
 
-        def fail(_exc):
+        def on_failure(_exc):
             _refuse(exchange, 'import_failed', _BUSY_RETRY_MS)
 
         address = (host, port)
         payload = build_request('GET', address, path)
-        self._client.send(address, payload, WholeResponse(take, fail))
+        self._client.send(
+            address, payload, WholeResponse(on_response, on_failure)
+        )
 
     def _start(self, exchange, order, fault):
         if not exchange.is_open:
@@ -321,15 +328,15 @@
             _refuse(exchange, 'no_memory', _BUSY_RETRY_MS)
             return
         generation = Generation(self, exchange, order, fault)
-        whole = not order.get('group')
+        is_whole_prompt = not order.get('group')
         work = Work(
             generation.key,
             priority=order['priority'],
             left=tokens,
             need=need,
-            crc=zlib.crc32(prompt, _read_carry(order)),
+            crc=zlib.crc32(prompt, _read_checksum(order)),
             blocks=hash_blocks(prompt, order['model'].encode())
-            if whole
+            if is_whole_prompt
             else (),
             max_tokens=order['max_tokens'],
             offset=order['offset'],
@@ -354,10 +361,10 @@
         self._snapshots = [*self._snapshots[-1:], snapshot]
 
 
-def _read_carry(order):
+def _read_checksum(order):
     if order.get('carry'):
         return int(order['carry'])
-    return seed_answer(order['model'])
+    return initial_checksum(order['model'])
 
 
 def _refuse(exchange, code, retry_after_ms):
--- a/crankchute/standins/faults.py
+++ b/crankchute/standins/faults.py
@@ -1,4 +1,4 @@
-"""Faults that a stand-in can be told to have."""
+"""Fault injection in the stand-ins."""
 
 import enum
 import os
@@ -9,11 +9,11 @@
 
 from crankchute.adapters.http_server import JSON_TYPE
 
-_KEPT_BYTES = 5
+_TRUNCATED_BYTES = 5
 
 
 class FaultMode(enum.StrEnum):
-    """What a stand-in does wrong."""
+    """The kinds of injected faults."""
 
     NONE = 'none'
     FREEZE = 'freeze'
@@ -30,76 +30,76 @@
 
 
 class Fault:
-    """The fault in effect, and for how many more requests.
+    """The fault in effect, optionally for a limited number of requests.
 
     Attributes:
       mode: A FaultMode.
-      delay_ms: How long a delay takes.
+      delay_ms: The duration of a delay in milliseconds.
     """
 
     def __init__(self):
         """Create without a fault."""
-        self._left = None
+        self._remaining = None
         self.mode = FaultMode.NONE
         self.delay_ms = 0
 
-    def arrange(self, document):
-        """Take a fault from an admin request.
+    def configure(self, document):
+        """Set the fault from an admin request.
 
         Args:
-          document: A map with `mode`, and perhaps `delay_ms` and `count`,
-            the number of requests that it hits.
+          document: A map with `mode` and optionally `delay_ms` and `count`,
+            the number of affected requests.
         Raises:
-          ValueError: If the mode is not known.
+          ValueError: If the mode is unknown.
         """
         mode = FaultMode(document.get('mode', FaultMode.NONE))
         if mode == FaultMode.DIE:
             os.kill(os.getpid(), signal.SIGKILL)
         self.mode = mode
         self.delay_ms = document.get('delay_ms', 0)
-        self._left = document.get('count')
+        self._remaining = document.get('count')
 
-    def take(self):
-        """Return the mode for one more request, and count it down."""
+    def next_mode(self):
+        """Return the mode for the next request and count the request."""
         mode = self.mode
-        if self._left is not None and mode != FaultMode.NONE:
-            self._left -= 1
-            if self._left <= 0:
+        if self._remaining is not None and mode != FaultMode.NONE:
+            self._remaining -= 1
+            if self._remaining <= 0:
                 self.mode = FaultMode.NONE
         return mode
 
 
 class FaultyReplies:
-    """Whole answers of a stand-in, as its fault lets them go out."""
+    """Sends the replies of a stand-in, subject to its fault."""
 
     def __init__(self, timers, fault):
-        """Create the way out of a stand-in.
+        """Create the sender.
 
         Args:
           timers: A TimerService.
-          fault: The stand-in's Fault.
+          fault: The Fault of the stand-in.
         """
         self._timers = timers
         self._fault = fault
-        self._former = {}
+        self._previous = {}
 
     def send(self, exchange, document, mode):
-        """Answer a request, or do what the mode says instead.
+        """Reply to a request, or inject the fault instead.
 
         Args:
           exchange: An Exchange.
           document: A JSON document.
-          mode: The FaultMode that was taken for this request.
+          mode: The FaultMode for this request.
         """
-        former = self._former
-        self._former = document
+        previous = self._previous
+        self._previous = document
         if mode == FaultMode.CROSS:
-            document = former
+            document = previous
         if mode == FaultMode.DROP:
             exchange.abort()
         elif mode == FaultMode.TRUNCATE:
             exchange.start_stream(JSON_TYPE)
-            exchange.send(orjson.dumps(document)[:_KEPT_BYTES])
+            exchange.send(orjson.dumps(document)[:_TRUNCATED_BYTES])
             exchange.abort()
         elif mode == FaultMode.DELAY:
             self._timers.after(
--- a/crankchute/standins/service_server.py
+++ b/crankchute/standins/service_server.py
@@ -1,4 +1,4 @@
-"""A plain service stand-in: bookings, holds and readings, counted by key."""
+"""The service stand-in: bookings, holds and readings, counted by key."""
 
 import secrets
 from collections import Counter
@@ -14,19 +14,19 @@
 
 
 class ServiceServer:
-    """Executes calls and remembers how often each key was executed."""
+    """Executes calls and counts the executions of each idempotency key."""
 
     def __init__(self, loop, bind):
         """Start to listen.
 
         Args:
           loop: The Loop.
-          bind: A pair of IP number and port.
+          bind: A pair of IP address and port.
         """
         self._fault = Fault()
         self._replies = FaultyReplies(loop.timers, self._fault)
-        self._executed = Counter()
-        self._sums = Counter()
+        self._executions_by_key = Counter()
+        self._executions_by_path = Counter()
         self.http = HttpServer(
             bind,
             self._on_request,
@@ -38,8 +38,8 @@
     @routes.add('POST', '/holds')
     @routes.add('POST', '/readings')
     def execute(self, exchange):
-        """Execute a call that must not run twice."""
-        fault = self._fault.take()
+        """Execute a call that must run at most once."""
+        fault = self._fault.next_mode()
         if fault == FaultMode.REFUSE:
             exchange.reply(
                 HTTPStatus.SERVICE_UNAVAILABLE,
@@ -49,28 +49,28 @@
             return
         document = read_json(exchange)
         key = exchange.header(KEY_HEADER, secrets.token_hex(8))
-        self._executed[key] += 1
-        self._sums[exchange.path] += 1
+        self._executions_by_key[key] += 1
+        self._executions_by_path[exchange.path] += 1
         answer = {'done': exchange.path, 'key': key, 'echo': document}
         self._replies.send(exchange, answer, fault)
 
     @routes.add('GET', '/bookings')
     @routes.add('GET', '/holds')
     @routes.add('GET', '/readings')
-    def read(self, exchange):
-        """Answer how many were made; this may be repeated."""
-        count = self._sums[exchange.path]
-        self._replies.send(exchange, {'count': count}, self._fault.take())
+    def read_count(self, exchange):
+        """Return how many calls were executed on this path."""
+        count = self._executions_by_path[exchange.path]
+        self._replies.send(exchange, {'count': count}, self._fault.next_mode())
 
     @routes.add('GET', '/admin/counts')
     def counts(self, exchange):
-        """Tell how often each key was executed."""
-        exchange.reply(HTTPStatus.OK, dict(self._executed))
+        """Return the number of executions by key, for tests."""
+        exchange.reply(HTTPStatus.OK, dict(self._executions_by_key))
 
     @routes.add('POST', '/admin/fault')
-    def arrange_fault(self, exchange):
-        """Take a fault."""
-        self._fault.arrange(read_json(exchange))
+    def configure_fault(self, exchange):
+        """Set the fault to inject."""
+        self._fault.configure(read_json(exchange))
         exchange.reply(HTTPStatus.OK, {})
 
     def _on_request(self, exchange):
