--- a/spec/once.py
+++ b/spec/once.py
@@ -1,25 +1,28 @@
-"""The model of calls that may not be repeated.
+"""The model of calls that run at most once.
 
-One call, bound to one incarnation of instance A.  The caller submits its key
-to A or to B, again and again; messages are lost, late, doubled; A crashes,
-restarts and pauses; B's view of A may be old.  The caller may bind anew only
-after it concluded that the first key did not run.
+A call has an idempotency key that is bound to one incarnation of instance A.
+The caller submits the key repeatedly, to A directly or through B.  Messages
+are lost, delayed and duplicated; A crashes and restarts; B may have an
+outdated view of A.  The caller may bind the call to a new key only after it
+concluded that the first one did not run.
 
-Guards, each of which a mutation drops:
+Guards, each of which one mutation removes:
   ledger: A dispatches a key only once.
-  boot: a restarted A refuses keys of its former incarnation.
-  expiry: A refuses a key past its expiry, and forgets it only then.
-  sent: an answer that did not come is not taken for one that did not run.
-  every: the caller concludes only when every submission was said not to have
-    been passed on.
+  boot: a restarted A rejects keys of its previous incarnation.
+  expiry: A rejects a key after its expiry, and keeps the entry until then.
+  lost_answer: a dispatched call without an answer is not reported as not run.
+  all_submissions: the caller concludes only after every submission was
+    reported as not run.
 """
 
 from types import MappingProxyType
 from typing import NamedTuple
 
-GUARDS = frozenset(('ledger', 'boot', 'expiry', 'sent', 'every'))
-_MOST_SUBMISSIONS = 3
-_MOST_RUNS = 2
+GUARDS = frozenset(
+    ('ledger', 'boot', 'expiry', 'lost_answer', 'all_submissions')
+)
+_MAX_SUBMISSIONS = 3
+_MAX_RUNS = 2
 _NONE = 0
 _RUNNING = 1
 _NOT_RUN = 2
@@ -28,152 +31,169 @@
 
 
 class State(NamedTuple):
-    """One state of the model.
+    """A state of the model.
 
     Attributes:
-      boot: A's incarnation, 0 or 1; the key is bound to 0.
-      entry: What A's ledger holds of the key.
-      expired: Whether the key is past its expiry on A's clock.
-      net: Messages on their way, a frozenset.
-      runs: How often the service executed the key.
-      submitted: How many submissions were made.
-      cleared: How many of them were said not to have been passed on.
-      concluded: Whether the caller took the key for one that did not run.
-      said: Whether A said not_run of a dispatched key.
+      boot: The incarnation of A, 0 or 1; the key is bound to 0.
+      entry: The entry of the key in the ledger of A.
+      expired: Whether the key has expired on the clock of A.
+      network: Messages in transit, a frozenset.
+      runs: The number of executions by the service.
+      submitted: The number of submissions.
+      rejected: The number of submissions reported as not run.
+      concluded: Whether the caller concluded that the key did not run.
+      reported_not_run: Whether A reported a dispatched key as not run.
     """
 
     boot: int = 0
     entry: int = _NONE
     expired: bool = False
-    net: frozenset = frozenset()
+    network: frozenset = frozenset()
     runs: int = 0
     submitted: int = 0
-    cleared: int = 0
+    rejected: int = 0
     concluded: bool = False
-    said: bool = False
+    reported_not_run: bool = False
 
 
 INVARIANTS = MappingProxyType(
     {
-        'runs at most once': lambda state: state['runs'] <= 1,
-        'not_run is true': lambda state: not (state['said'] and state['runs']),
-        'a conclusion of the caller is true': (
+        'a call runs at most once': lambda state: state['runs'] <= 1,
+        'a reported not_run is correct': lambda state: (
+            not (state['reported_not_run'] and state['runs'])
+        ),
+        'a conclusion of the caller is correct': (
             lambda state: not (state['concluded'] and state['runs'])
         ),
     }
 )
 MUTATIONS = (
-    ('ledger', 'runs at most once'),
-    ('boot', 'runs at most once'),
-    ('expiry', 'runs at most once'),
-    ('sent', 'not_run is true'),
-    ('every', 'a conclusion of the caller is true'),
+    ('ledger', 'a call runs at most once'),
+    ('boot', 'a call runs at most once'),
+    ('expiry', 'a call runs at most once'),
+    ('lost_answer', 'a reported not_run is correct'),
+    ('all_submissions', 'a conclusion of the caller is correct'),
 )
 
 
 def list_steps(state, guards):
-    """Return the steps that may follow a state.
+    """Return the possible transitions from a state.
 
     Args:
       state: A State.
-      guards: The names of the guards in effect, a frozenset.
+      guards: The names of the active guards, a frozenset.
     Returns:
-      A list of pairs of label and State.
+      A list of pairs of label and next State.
     """
     steps = []
     steps.extend(_caller_steps(state, guards))
     steps.extend(_instance_steps(state))
-    for message in sorted(state.net):
-        steps.append((f'lose {message}', _without(state, message)))
+    for message in sorted(state.network):
+        steps.append((f'lose {message}', _remove_message(state, message)))
         steps.extend(_deliver(state, message, guards))
     return steps
 
 
 def _caller_steps(state, guards):
-    if state.submitted < _MOST_SUBMISSIONS and not state.concluded:
+    if state.submitted < _MAX_SUBMISSIONS and not state.concluded:
         for target in ('A', 'B'):
             message = (f'submit-{target}', state.submitted)
-            sent = _with(state, message)
+            sent = _add_message(state, message)
             yield (
                 f'submit to {target}',
                 sent._replace(submitted=state.submitted + 1),
             )
-    wanted = state.submitted if 'every' in guards else 1
-    if state.submitted and state.cleared >= wanted and not state.concluded:
-        yield 'conclude', state._replace(concluded=True)
+    required = state.submitted if 'all_submissions' in guards else 1
+    if state.submitted and state.rejected >= required and not state.concluded:
+        yield 'the caller concludes', state._replace(concluded=True)
 
 
 def _instance_steps(state):
     if state.boot == 0:
-        yield 'crash and restart', state._replace(boot=1, entry=_NONE)
+        yield 'A crashes and restarts', state._replace(boot=1, entry=_NONE)
     if not state.expired:
-        yield 'time passes the expiry', state._replace(expired=True)
+        yield 'the key expires', state._replace(expired=True)
     if state.expired and state.entry not in {_NONE, _RUNNING}:
-        yield 'forget the key', state._replace(entry=_NONE)
+        yield 'A deletes the entry', state._replace(entry=_NONE)
 
 
 def _deliver(state, message, guards):
     kind, number = message
     if kind == 'submit-B':
-        taken = _without(state, message)
-        yield 'B passes it on', _with(taken, ('submit-A', number))
-        yield 'B knows no A', _with(taken, ('cleared', number))
+        delivered = _remove_message(state, message)
+        yield (
+            'B forwards the submission',
+            _add_message(delivered, ('submit-A', number)),
+        )
+        yield 'B does not know A', _add_message(delivered, ('rejected', number))
     elif kind == 'submit-A':
-        yield from _claim(state, number, guards)
+        yield from _submit(state, number, guards)
     elif kind == 'dispatch':
         yield from _execute(state, guards)
-    elif kind == 'cleared':
-        counted = _without(state, message)
-        yield 'caller hears it', counted._replace(cleared=state.cleared + 1)
-
-
-def _claim(state, number, guards):
-    heard = _without(state, ('submit-A', number))
-    if _is_refused(state, guards):
-        yield 'A refuses the key', heard
+    elif kind == 'rejected':
+        counted_rejection = _remove_message(state, message)
+        yield (
+            'the caller receives the rejection',
+            counted_rejection._replace(rejected=state.rejected + 1),
+        )
+
+
+def _submit(state, number, guards):
+    delivered = _remove_message(state, ('submit-A', number))
+    if _is_rejected(state, guards):
+        yield 'A rejects the key', delivered
     elif state.entry == _NONE or 'ledger' not in guards:
-        yield from _start(state, number)
+        yield from _dispatch(state, number)
     elif state.entry == _NOT_RUN:
-        yield 'A repeats not_run', _with(heard, ('cleared', number))
+        yield 'A repeats not_run', _add_message(delivered, ('rejected', number))
 
 
-def _is_refused(state, guards):
-    is_other = state.boot and 'boot' in guards
+def _is_rejected(state, guards):
+    is_other_boot = state.boot and 'boot' in guards
     is_expired = state.expired and 'expiry' in guards
-    return is_other or is_expired
+    return is_other_boot or is_expired
 
 
-def _start(state, number):
-    heard = _without(state, ('submit-A', number))
+def _dispatch(state, number):
+    delivered = _remove_message(state, ('submit-A', number))
     claimed = state._replace(entry=_RUNNING)
-    yield 'A dispatches', _with(claimed, ('dispatch', 0))
-    refused = heard._replace(entry=_NOT_RUN, said=True)
-    yield 'connection refused', _with(refused, ('cleared', number))
+    yield 'A dispatches', _add_message(claimed, ('dispatch', 0))
+    failed = delivered._replace(entry=_NOT_RUN, reported_not_run=True)
+    yield (
+        'the service refuses the connection',
+        _add_message(failed, ('rejected', number)),
+    )
 
 
 def _execute(state, guards):
-    if state.runs < _MOST_RUNS:
-        done = _without(state, ('dispatch', 0))
-        ran = done._replace(runs=state.runs + 1)
-        yield 'service runs, A hears', _settle(ran, _DONE)
-        yield 'service runs, answer lost', _settle_lost(ran, guards)
-    lost = _without(state, ('dispatch', 0))
-    yield 'call lost on its way', _settle_lost(lost, guards)
-
-
-def _settle(state, entry):
+    if state.runs < _MAX_RUNS:
+        done = _remove_message(state, ('dispatch', 0))
+        executed = done._replace(runs=state.runs + 1)
+        yield (
+            'the service runs the call and A gets the answer',
+            _record_result(executed, _DONE),
+        )
+        yield (
+            'the service runs the call and the answer is lost',
+            _record_lost(executed, guards),
+        )
+    undelivered = _remove_message(state, ('dispatch', 0))
+    yield 'the call is lost in transit', _record_lost(undelivered, guards)
+
+
+def _record_result(state, entry):
     return state._replace(entry=entry) if state.entry == _RUNNING else state
 
 
-def _settle_lost(state, guards):
-    if 'sent' in guards or state.entry != _RUNNING:
-        return _settle(state, _UNKNOWN)
-    return state._replace(entry=_NOT_RUN, said=True)
+def _record_lost(state, guards):
+    if 'lost_answer' in guards or state.entry != _RUNNING:
+        return _record_result(state, _UNKNOWN)
+    return state._replace(entry=_NOT_RUN, reported_not_run=True)
 
 
-def _with(state, message):
-    return state._replace(net=state.net | {message})
+def _add_message(state, message):
+    return state._replace(network=state.network | {message})
 
 
-def _without(state, message):
-    return state._replace(net=state.net - {message})
+def _remove_message(state, message):
+    return state._replace(network=state.network - {message})
