--- a/spec/engines.py
+++ b/spec/engines.py
@@ -1,43 +1,46 @@
-"""The model of engines: holds with deadlines, and orders with fences.
-
-An instance makes a hold for an admitted request and may crash or pause for
-ever; its release may be lost.  Two instances may both believe that they own
-an engine; orders arrive late and in any order.
-
-Guards, each of which a mutation drops:
-  deadline: an engine frees a hold at its deadline, whoever made it.
-  timer: an instance ends a request at its deadline.
-  wake: an instance that slept ends what is past its deadline before it sends.
-  fence: an engine that checks refuses an order below the highest it saw.
-  repass: for one that does not check, the owner orders again when the state
-    is not as wanted.
+"""The model of engines: holds with deadlines and orders with fences.
+
+An instance reserves memory for an admitted request; it may crash or pause
+indefinitely, and its release may be lost.  Two instances may both believe that
+they own an engine; orders are delayed and reordered.
+
+Guards, each of which one mutation removes:
+  hold_deadline: an engine frees a hold at its deadline.
+  request_deadline: an instance ends a request at its deadline.
+  resume_check: after a pause, an instance ends overdue requests before it
+    sends anything.
+  fence: an engine that checks fences rejects orders below the highest fence.
+  reconcile: to an engine without that check, the owner repeats the order when
+    the reported state differs from the target.
 """
 
 from types import MappingProxyType
 from typing import NamedTuple
 
-GUARDS = frozenset(('deadline', 'timer', 'wake', 'fence', 'repass'))
-_END = 3
+GUARDS = frozenset(
+    ('hold_deadline', 'request_deadline', 'resume_check', 'fence', 'reconcile')
+)
+_MAX_TIME = 3
 _DEADLINE = 2
 _OLD, _NEW = 1, 2
 
 
 class State(NamedTuple):
-    """One state of the model.
+    """A state of the model.
 
     Attributes:
-      time: 0 to 3; the request's deadline is 2.
-      alive: Whether the instance lives.
-      paused: Whether the instance sleeps.
+      time: 0 to 3; the deadline of the request is 2.
+      alive: Whether the instance is running.
+      paused: Whether the instance is paused.
       admitted: Whether the request was admitted.
-      ended: Whether it ended.
+      ended: Whether the request ended.
       sent_late: Whether a token was sent after the deadline.
-      held: Whether the engine holds memory for it.
-      orders: Orders on their way, a frozenset of revisions.
-      strict: What the engine that checks fences holds.
-      highest: The highest fence that it saw.
-      loose: What the engine that does not check holds.
-      fell: Whether the strict engine went back.
+      held: Whether the engine holds memory for the request.
+      orders: Orders in transit, a frozenset of revisions.
+      fenced: The revision at the engine that checks fences.
+      highest_fence: The highest fence that this engine received.
+      unfenced: The revision at the engine that does not check fences.
+      regressed: Whether the fenced engine returned to an older revision.
     """
 
     time: int = 0
@@ -48,44 +51,44 @@
     sent_late: bool = False
     held: bool = False
     orders: frozenset = frozenset((_OLD, _NEW))
-    strict: int = 0
-    highest: int = 0
-    loose: int = 0
-    fell: bool = False
+    fenced: int = 0
+    highest_fence: int = 0
+    unfenced: int = 0
+    regressed: bool = False
 
 
 def _is_overdue(state):
-    waits = state['admitted'] and not state['ended']
-    is_up = state['alive'] and not state['paused']
-    return waits and is_up and state['time'] > _DEADLINE
+    is_open = state['admitted'] and not state['ended']
+    is_running = state['alive'] and not state['paused']
+    return is_open and is_running and state['time'] > _DEADLINE
 
 
 INVARIANTS = MappingProxyType(
     {
-        'every hold is released after its deadline': (
+        'holds are released after their deadline': (
             lambda state: not (state['held'] and state['time'] > _DEADLINE)
         ),
-        'every admitted request ends': lambda state: not _is_overdue(state),
-        'nothing is sent after the deadline': (
+        'admitted requests end': lambda state: not _is_overdue(state),
+        'no token is sent after the deadline': (
             lambda state: not state['sent_late']
         ),
-        'a checked engine never goes back': lambda state: not state['fell'],
-        'an unchecked engine comes right': (
-            lambda state: state['orders'] or state['loose'] in {0, _NEW}
+        'a fenced engine never regresses': lambda state: not state['regressed'],
+        'an unfenced engine converges': (
+            lambda state: state['orders'] or state['unfenced'] in {0, _NEW}
         ),
     }
 )
 MUTATIONS = (
-    ('deadline', 'every hold is released after its deadline'),
-    ('timer', 'every admitted request ends'),
-    ('wake', 'nothing is sent after the deadline'),
-    ('fence', 'a checked engine never goes back'),
-    ('repass', 'an unchecked engine comes right'),
+    ('hold_deadline', 'holds are released after their deadline'),
+    ('request_deadline', 'admitted requests end'),
+    ('resume_check', 'no token is sent after the deadline'),
+    ('fence', 'a fenced engine never regresses'),
+    ('reconcile', 'an unfenced engine converges'),
 )
 
 
 def list_steps(state, guards):
-    """Return the steps that may follow a state; see once.list_steps."""
+    """Return the possible transitions; see list_steps in once.py."""
     steps = list(_request_steps(state, guards))
     steps.extend(_fault_steps(state, guards))
     for revision in sorted(state.orders):
@@ -94,19 +97,22 @@
 
 
 def _request_steps(state, guards):
-    awake = state.alive and not state.paused
-    if awake and not state.admitted and state.time < _DEADLINE:
+    is_running = state.alive and not state.paused
+    if is_running and not state.admitted and state.time < _DEADLINE:
         yield 'admit', state._replace(admitted=True)
-    open_request = awake and state.admitted and not state.ended
+    open_request = is_running and state.admitted and not state.ended
     if open_request and not state.held and state.time < _DEADLINE:
         yield 'hold', state._replace(held=True)
     if open_request:
-        late = state.time > _DEADLINE
-        yield 'send a token', state._replace(sent_late=state.sent_late or late)
+        is_late = state.time > _DEADLINE
+        yield (
+            'send a token',
+            state._replace(sent_late=state.sent_late or is_late),
+        )
         yield 'finish', state._replace(ended=True, held=False)
-        yield 'finish, release lost', state._replace(ended=True)
-    if state.time < _END:
-        yield 'time passes', _pass_time(state, guards)
+        yield 'finish with the release lost', state._replace(ended=True)
+    if state.time < _MAX_TIME:
+        yield 'time passes', _advance_time(state, guards)
 
 
 def _fault_steps(state, guards):
@@ -115,42 +121,42 @@
     if state.alive and not state.paused:
         yield 'pause', state._replace(paused=True)
     if state.alive and state.paused:
-        yield 'wake', _wake(state._replace(paused=False), guards)
+        yield 'resume', _resume(state._replace(paused=False), guards)
 
 
-def _pass_time(state, guards):
+def _advance_time(state, guards):
     later = state._replace(time=state.time + 1)
-    if later.time > _DEADLINE and 'deadline' in guards:
+    if later.time > _DEADLINE and 'hold_deadline' in guards:
         later = later._replace(held=False)
-    if later.alive and not later.paused and 'timer' in guards:
-        later = _end_late(later)
+    if later.alive and not later.paused and 'request_deadline' in guards:
+        later = _end_overdue(later)
     return later
 
 
-def _wake(state, guards):
-    return _end_late(state) if 'wake' in guards else state
+def _resume(state, guards):
+    return _end_overdue(state) if 'resume_check' in guards else state
 
 
-def _end_late(state):
+def _end_overdue(state):
     if state.admitted and state.time > _DEADLINE:
         return state._replace(ended=True)
     return state
 
 
 def _order_steps(state, revision, guards):
-    left = state._replace(orders=state.orders - {revision})
+    remaining = state._replace(orders=state.orders - {revision})
     if revision == _NEW:
-        yield 'an order is lost and sent again', state
+        yield 'a new order is lost and resent', state
     else:
-        yield 'a late order is lost', left
-    strict = left
-    if revision >= state.highest or 'fence' not in guards:
-        strict = left._replace(
-            strict=revision,
-            highest=max(state.highest, revision),
-            fell=state.fell or revision < state.strict,
+        yield 'an old order is lost', remaining
+    fenced = remaining
+    if revision >= state.highest_fence or 'fence' not in guards:
+        fenced = remaining._replace(
+            fenced=revision,
+            highest_fence=max(state.highest_fence, revision),
+            regressed=state.regressed or revision < state.fenced,
         )
-    loose = strict._replace(loose=revision)
-    if revision == _OLD and 'repass' in guards:
-        loose = loose._replace(orders=loose.orders | {_NEW})
-    yield f'order {revision} arrives', loose
+    unfenced = fenced._replace(unfenced=revision)
+    if revision == _OLD and 'reconcile' in guards:
+        unfenced = unfenced._replace(orders=unfenced.orders | {_NEW})
+    yield f'order {revision} is delivered', unfenced
