--- a/spec/revisions.py
+++ b/spec/revisions.py
@@ -1,131 +1,139 @@
 """The model of configuration revisions.
 
-The platform publishes revisions, one of them invalid; a replica of it may
-serve an old one.  Two instances read it, pull from one another, restart and
-lose everything.  Two things are assumed, and docs/PROMISES.md lists them as not
-proved: the two do not restart at once before a stale platform, since nobody
-would be left who knows better; and what an instance had in force has reached
-its peer before it restarts, which takes some milliseconds.
-
-Guards, each of which a mutation drops:
-  rise: an instance takes only what leads higher than what is in force.
-  check: an invalid revision is not put in force.
-  ask: a restarted instance serves only after it asked its peer.
+The platform publishes revisions, one of them invalid, and its replicas may
+serve old ones.  Two instances read from it, pull from each other, and lose
+their state when they restart.
+
+The model makes two assumptions, which docs/PROMISES.md lists as not proved: the
+instances do not both restart while the platform is stale, and a revision in
+force at an instance has reached its peer before the instance restarts.
+
+Guards, each of which one mutation removes:
+  monotonic: an instance accepts only revisions above the one in force.
+  validation: an invalid revision is not put in force.
+  peer_sync: a restarted instance serves only after it pulled from its peer.
 """
 
 from types import MappingProxyType
 from typing import NamedTuple
 
-GUARDS = frozenset(('rise', 'check', 'ask'))
+GUARDS = frozenset(('monotonic', 'validation', 'peer_sync'))
 _NEWEST = 4
 _INVALID = 3
 
 
 class State(NamedTuple):
-    """One state of the model.
+    """A state of the model; pairs have an entry for each instance.
 
     Attributes:
-      published: The platform's revision.
-      in_force: The revision in force at both instances, a pair.
-      seen: The highest revision seen by both, a pair.
-      serving: Whether each serves, a pair.
-      asked: Whether each asked its peer since it started, a pair.
-      former: What each had in force before it restarted, a pair.
-      fell: Whether a revision in force fell at an instance that serves.
+      published: The latest revision of the platform.
+      in_force: The revision in force, a pair.
+      seen: The highest revision seen, a pair.
+      serving: Whether the instance serves, a pair.
+      synced: Whether it pulled from its peer since its start, a pair.
+      previous: The revision in force before the last restart, a pair.
+      regressed: Whether a serving instance put an older revision in force.
     """
 
     published: int = 1
     in_force: tuple = (1, 1)
     seen: tuple = (1, 1)
     serving: tuple = (True, True)
-    asked: tuple = (True, True)
-    former: tuple = (0, 0)
-    fell: bool = False
+    synced: tuple = (True, True)
+    previous: tuple = (0, 0)
+    regressed: bool = False
 
 
 INVARIANTS = MappingProxyType(
     {
-        'the revision in force never falls': lambda state: not state['fell'],
+        'the revision in force never decreases': lambda state: (
+            not state['regressed']
+        ),
         'no invalid revision is in force': (
             lambda state: _INVALID not in state['in_force']
         ),
     }
 )
 MUTATIONS = (
-    ('rise', 'the revision in force never falls'),
-    ('ask', 'the revision in force never falls'),
-    ('check', 'no invalid revision is in force'),
+    ('monotonic', 'the revision in force never decreases'),
+    ('peer_sync', 'the revision in force never decreases'),
+    ('validation', 'no invalid revision is in force'),
 )
 
 
 def list_steps(state, guards):
-    """Return the steps that may follow a state; see once.list_steps."""
+    """Return the possible transitions; see list_steps in once.py."""
     steps = []
     if state.published < _NEWEST:
-        newer = state._replace(published=state.published + 1)
-        steps.append(('publish', newer))
-    for one in (0, 1):
-        steps.extend(_read_steps(state, one, guards))
-        steps.extend(_peer_steps(state, one, guards))
+        advanced = state._replace(published=state.published + 1)
+        steps.append(('publish', advanced))
+    for instance in (0, 1):
+        steps.extend(_read_steps(state, instance, guards))
+        steps.extend(_peer_steps(state, instance, guards))
     return steps
 
 
-def _read_steps(state, one, guards):
+def _read_steps(state, instance, guards):
     for revision in range(1, state.published + 1):
         yield (
-            f'{one} reads revision {revision}',
-            _offer(state, one, revision, guards),
+            f'{instance} reads revision {revision}',
+            _apply(state, instance, revision, guards),
         )
 
 
-def _peer_steps(state, one, guards):
-    other = 1 - one
-    has_reached = state.in_force[other] >= state.in_force[one]
-    if has_reached and all(state.serving):
-        yield f'{one} restarts', _restart(state, one)
-    if state.serving[other]:
-        pulled = _offer(state, one, state.in_force[other], guards)
+def _peer_steps(state, instance, guards):
+    peer = 1 - instance
+    peer_is_current = state.in_force[peer] >= state.in_force[instance]
+    if peer_is_current and all(state.serving):
+        yield f'{instance} restarts', _restart(state, instance)
+    if state.serving[peer]:
+        pulled = _apply(state, instance, state.in_force[peer], guards)
         yield (
-            f'{one} pulls',
-            pulled._replace(asked=_put(state.asked, one, True)),
+            f'{instance} pulls',
+            pulled._replace(synced=_replace_at(state.synced, instance, True)),
         )
-    may_serve = state.asked[one] or 'ask' not in guards
-    if state.in_force[one] and may_serve and not state.serving[one]:
-        fell = state.in_force[one] < state.former[one]
+    may_serve = state.synced[instance] or 'peer_sync' not in guards
+    if state.in_force[instance] and may_serve and not state.serving[instance]:
+        has_regressed = state.in_force[instance] < state.previous[instance]
         yield (
-            f'{one} serves',
+            f'{instance} serves',
             state._replace(
-                serving=_put(state.serving, one, True),
-                fell=state.fell or fell,
+                serving=_replace_at(state.serving, instance, True),
+                regressed=state.regressed or has_regressed,
             ),
         )
 
 
-def _restart(state, one):
+def _restart(state, instance):
     return state._replace(
-        former=_put(state.former, one, state.in_force[one]),
-        in_force=_put(state.in_force, one, 0),
-        seen=_put(state.seen, one, 0),
-        serving=_put(state.serving, one, False),
-        asked=_put(state.asked, one, False),
+        previous=_replace_at(
+            state.previous, instance, state.in_force[instance]
+        ),
+        in_force=_replace_at(state.in_force, instance, 0),
+        seen=_replace_at(state.seen, instance, 0),
+        serving=_replace_at(state.serving, instance, False),
+        synced=_replace_at(state.synced, instance, False),
     )
 
 
-def _offer(state, one, revision, guards):
-    current = state.in_force[one]
-    if 'rise' in guards and revision <= current:
+def _apply(state, instance, revision, guards):
+    current = state.in_force[instance]
+    if 'monotonic' in guards and revision <= current:
         return state
-    seen = _put(state.seen, one, max(state.seen[one], revision))
-    if 'check' in guards and revision == _INVALID:
+    seen = _replace_at(
+        state.seen, instance, max(state.seen[instance], revision)
+    )
+    if 'validation' in guards and revision == _INVALID:
         return state._replace(seen=seen)
     return state._replace(
-        in_force=_put(state.in_force, one, revision),
+        in_force=_replace_at(state.in_force, instance, revision),
         seen=seen,
-        fell=state.fell or (state.serving[one] and revision < current),
+        regressed=state.regressed
+        or (state.serving[instance] and revision < current),
     )
 
 
-def _put(pair, index, entry):
+def _replace_at(pair, index, new):
     return tuple(
-        entry if place == index else kept for place, kept in enumerate(pair)
+        new if position == index else old for position, old in enumerate(pair)
     )
