--- a/spec/answers.py
+++ b/spec/answers.py
@@ -1,27 +1,27 @@
 """The model of streamed answers.
 
-Two callers each wait for an answer of two tokens, and each may make a second
-attempt that resumes.  Frames of all requests and attempts are delivered to
-either stream, late, doubled, or not at all, from two engine incarnations.
-
-Guards, each of which a mutation drops:
-  request: a frame counts only for the request that it names.
-  attempt: a frame counts only for the attempt that it names.
-  offset: a frame counts only at the next offset.
-  mark: an answer ends only by a mark whose count agrees.
+Two callers each request an answer of two tokens; each may retry once and then
+resumes the stream.  Frames of any request and attempt can arrive on either
+stream, in any order, repeatedly or never.
+
+Guards, each of which one mutation removes:
+  request: a frame is accepted only for the request that it names.
+  attempt: a frame is accepted only for the attempt that it names.
+  offset: a frame is accepted only at the next offset.
+  end_mark: an answer is complete only at an end mark with the right count.
 """
 
 import itertools
 from types import MappingProxyType
 from typing import NamedTuple
 
-GUARDS = frozenset(('request', 'attempt', 'offset', 'mark'))
+GUARDS = frozenset(('request', 'attempt', 'offset', 'end_mark'))
 _LENGTH = 2
 _END = -1
 
 
 class Frame(NamedTuple):
-    """A frame on the wire; an offset of -1 is an end mark."""
+    """A frame of a stream; offset -1 is the end mark."""
 
     request: int
     attempt: int
@@ -29,106 +29,110 @@
 
 
 class State(NamedTuple):
-    """One state of the model.
+    """A state of the model.
 
     Attributes:
-      got: What each caller got, a pair of tuples of Frame.
-      attempt: The attempt that each caller's request is at, a pair.
-      ended: Whether each caller was told that the answer is whole, a pair.
+      received: The accepted frames of each caller, a pair of tuples.
+      attempt: The current attempt of each caller, a pair of ints.
+      completed: Whether each answer was reported complete, a pair of bools.
     """
 
-    got: tuple = ((), ())
+    received: tuple = ((), ())
     attempt: tuple = (1, 1)
-    ended: tuple = (False, False)
+    completed: tuple = (False, False)
 
 
-def _all_own(state):
-    first, second = state['got']
-    return not _has_other(first, 0) and not _has_other(second, 1)
+def _is_not_misrouted(state):
+    first, retried = state['received']
+    return not _has_misrouted(first, 0) and not _has_misrouted(retried, 1)
 
 
-def _has_other(frames, caller):
+def _has_misrouted(frames, caller):
     return any(frame.request != caller for frame in frames)
 
 
-def _whole_in_order(state):
-    whole = list(range(_LENGTH))
-    ended = itertools.compress(state['got'], state['ended'])
-    return all(_list_offsets(frames) == whole for frames in ended)
+def _completed_are_whole(state):
+    all_offsets = list(range(_LENGTH))
+    completed = itertools.compress(state['received'], state['completed'])
+    return all(_list_offsets(frames) == all_offsets for frames in completed)
 
 
 def _list_offsets(frames):
     return [frame.offset for frame in frames]
 
 
-def _in_turn(state):
-    return all(_is_rising(frames) for frames in state['got'])
+def _attempts_are_ordered(state):
+    return all(_has_ordered_attempts(frames) for frames in state['received'])
 
 
-def _is_rising(frames):
-    numbers = [frame.attempt for frame in frames]
-    return numbers == sorted(numbers)
+def _has_ordered_attempts(frames):
+    attempts = [frame.attempt for frame in frames]
+    return attempts == sorted(attempts)
 
 
 INVARIANTS = MappingProxyType(
     {
-        "no answer reaches another's caller": _all_own,
-        'an answer that looks whole is whole': _whole_in_order,
-        'a former attempt adds nothing': _in_turn,
+        'answers are not misrouted': _is_not_misrouted,
+        'a completed answer has all tokens in order': _completed_are_whole,
+        'a superseded attempt adds no tokens': _attempts_are_ordered,
     }
 )
 MUTATIONS = (
-    ('request', "no answer reaches another's caller"),
-    ('offset', 'an answer that looks whole is whole'),
-    ('mark', 'an answer that looks whole is whole'),
-    ('attempt', 'a former attempt adds nothing'),
+    ('request', 'answers are not misrouted'),
+    ('offset', 'a completed answer has all tokens in order'),
+    ('end_mark', 'a completed answer has all tokens in order'),
+    ('attempt', 'a superseded attempt adds no tokens'),
 )
-_WIRE = tuple(
-    Frame(*numbers)
-    for numbers in itertools.product((0, 1), (1, 2), (0, 1, _END))
+_FRAMES = tuple(
+    Frame(*frame_fields)
+    for frame_fields in itertools.product((0, 1), (1, 2), (0, 1, _END))
 )
 
 
 def list_steps(state, guards):
-    """Return the steps that may follow a state; see once.list_steps."""
+    """Return the possible transitions; see list_steps in once.py."""
     steps = []
     for caller in (0, 1):
-        if state.ended[caller]:
+        if state.completed[caller]:
             continue
         if state.attempt[caller] == 1:
-            second = _put(state.attempt, caller, 2)
+            retried = _replace_at(state.attempt, caller, 2)
             steps.append(
-                (f'{caller} tries again', state._replace(attempt=second)),
+                (f'{caller} retries', state._replace(attempt=retried)),
             )
-        for frame in _WIRE:
-            after = _match(state, caller, frame, guards)
-            steps.append((f'{caller} receives {tuple(frame)}', after))
+        for frame in _FRAMES:
+            next_state = _receive(state, caller, frame, guards)
+            steps.append((f'{caller} receives {tuple(frame)}', next_state))
     return steps
 
 
-def _match(state, caller, frame, guards):
-    got = state.got[caller]
-    if not _is_expected(state, caller, frame, guards):
+def _receive(state, caller, frame, guards):
+    received = state.received[caller]
+    if not _is_accepted(state, caller, frame, guards):
         return state
     if frame.offset == _END:
-        return state._replace(ended=_put(state.ended, caller, True))
-    if len(got) == _LENGTH:
+        return state._replace(
+            completed=_replace_at(state.completed, caller, True)
+        )
+    if len(received) == _LENGTH:
         return state
-    return state._replace(got=_put(state.got, caller, (*got, frame)))
+    return state._replace(
+        received=_replace_at(state.received, caller, (*received, frame))
+    )
 
 
-def _is_expected(state, caller, frame, guards):
-    length = len(state.got[caller])
-    matches = {
+def _is_accepted(state, caller, frame, guards):
+    length = len(state.received[caller])
+    checks = {
         'request': frame.request == caller,
         'attempt': frame.attempt == state.attempt[caller],
         'offset': frame.offset in {length, _END},
-        'mark': frame.offset != _END or length == _LENGTH,
+        'end_mark': frame.offset != _END or length == _LENGTH,
     }
-    return all(matches[guard] for guard in guards)
+    return all(checks[guard] for guard in guards)
 
 
-def _put(pair, index, entry):
+def _replace_at(pair, index, new):
     return tuple(
-        entry if place == index else kept for place, kept in enumerate(pair)
+        new if position == index else old for position, old in enumerate(pair)
     )
