--- a/spec/__init__.py
+++ b/spec/__init__.py
@@ -1,1 +1,1 @@
-"""The specification of the core protocol."""
+"""Model-checked specifications of the core protocols."""
--- a/spec/run.py
+++ b/spec/run.py
@@ -1,8 +1,8 @@
-"""`make model`: checks the models, and that their mutations are found.
+"""Checks the models and their mutations: `make model`.
 
-Prints for each invariant whether it holds, how many states were visited and
-whether the search was complete; then for each mutation, which drops one
-guard, the length of the counter-example.
+For each invariant, prints whether it holds, the number of visited states and
+whether the search was exhaustive.  For each mutation, which removes one guard,
+prints the length of the counterexample.
 """
 
 import sys
@@ -16,22 +16,22 @@
 
 
 class Finding:
-    """What a search said of one invariant.
+    """The result of the search for one invariant.
 
     Attributes:
-      holds: True, False, or None if the search did not end.
-      states: How many states were visited, an int.
-      trace: The labels of a shortest counter-example, or None.
+      holds: A bool, or None if the search was not exhaustive.
+      states: The number of visited states, an int.
+      trace: The labels of a shortest counterexample, or None.
     """
 
     __slots__ = ('holds', 'states', 'trace')
 
     def __init__(self, verdict, states):
-        """Create the record.
+        """Create the finding.
 
         Args:
-          verdict: What minicheck says of the invariant, a map.
-          states: How many states were visited.
+          verdict: The result of minicheck for the invariant, a map.
+          states: The number of visited states.
         """
         self.holds = verdict['holds']
         self.states = states
@@ -40,13 +40,13 @@
 
 
 def check_model(model, guards):
-    """Search a model with some guards in effect.
+    """Check the invariants of a model.
 
     Args:
       model: A module of this package.
-      guards: The names of the guards, a frozenset.
+      guards: The names of the active guards, a frozenset.
     Returns:
-      A map from invariant to Finding.
+      A map from the name of each invariant to its Finding.
     """
     protocol = Protocol(
         name=model.__name__,
@@ -56,48 +56,48 @@
         transitions=lambda state: model.list_steps(state, guards),
         invariants=model.INVARIANTS,
     )
-    found = check_safety(protocol, max_states=MAX_STATES)
-    states = found['reachable_states']
+    report = check_safety(protocol, max_states=MAX_STATES)
+    states = report['reachable_states']
     return {
-        name: Finding(verdict, states)
-        for name, verdict in found['properties'].items()
+        invariant: Finding(verdict, states)
+        for invariant, verdict in report['properties'].items()
     }
 
 
 def report_model(model):
-    """Print a line for each invariant of a model; return whether all hold."""
+    """Print the result for each invariant; return whether all hold."""
     all_hold = True
-    for name, finding in check_model(model, model.GUARDS).items():
-        extent = 'complete'
+    for invariant, finding in check_model(model, model.GUARDS).items():
+        extent = 'exhaustive'
         if finding.holds is None:
-            extent = f'bounded by {MAX_STATES} states'
-        word = 'holds' if finding.holds else 'fails'
-        print(f'{word}  {name}: {finding.states} states, {extent}')
+            extent = f'stopped at {MAX_STATES} states'
+        status = 'holds' if finding.holds else 'fails'
+        print(f'{status}  {invariant}: {finding.states} states, {extent}')
         all_hold = all_hold and finding.holds is True
     return all_hold
 
 
 def report_mutations(model):
-    """Print a line for each mutation; return whether all were found."""
-    all_found = True
-    for guard, name in model.MUTATIONS:
-        finding = check_model(model, model.GUARDS - {guard})[name]
-        is_found = finding.holds is False
-        steps = len(finding.trace) - 1 if is_found else 0
-        word = 'found' if is_found else 'SURVIVED'
-        print(f'{word}  without {guard}: {name}, {steps} steps')
-        all_found = all_found and is_found
-    return all_found
+    """Print the result for each mutation; return whether all were detected."""
+    all_detected = True
+    for guard, invariant in model.MUTATIONS:
+        finding = check_model(model, model.GUARDS - {guard})[invariant]
+        is_detected = finding.holds is False
+        steps = len(finding.trace) - 1 if is_detected else 0
+        status = 'detected' if is_detected else 'UNDETECTED'
+        print(f'{status}  without {guard}: {invariant}, {steps} steps')
+        all_detected = all_detected and is_detected
+    return all_detected
 
 
 def main():
-    """Check all models and mutations."""
-    verdicts = []
+    """Check all models and mutations; return the exit code."""
+    successes = []
     for model in MODELS:
         print(f'--- {model.__name__}')
-        verdicts.append(report_model(model))
-        verdicts.append(report_mutations(model))
-    return 0 if all(verdicts) else 1
+        successes.append(report_model(model))
+        successes.append(report_mutations(model))
+    return 0 if all(successes) else 1
 
 
 if __name__ == '__main__':
