--- a/deploy/start.py
+++ b/deploy/start.py
@@ -1,4 +1,4 @@
-"""Starts an instance on the users' platform from the built copy."""
+"""Entry point of an instance on the deployment platform."""
 
 import sys
 
