--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of whole processes."""
+"""Tests of whole processes and of simulations."""
--- a/tests/promises_test.py
+++ b/tests/promises_test.py
@@ -1,4 +1,4 @@
-"""The promises of the brief on real processes, each once and briefly."""
+"""Tests of the guarantees on real processes: one round of each scenario."""
 
 import pytest
 
@@ -7,7 +7,7 @@
 
 
 @pytest.mark.parametrize('name', sorted(scenarios))
-def test_promise_holds(name):
-    """The scenario finds nothing that breaks the promise."""
+def test_scenario_finds_no_violation(name):
+    """The scenario finds no violation."""
     verdict = run_scenario(name, rounds=1)
     assert not verdict.broken, verdict.figure
