--- a/tests/commands_test.py
+++ b/tests/commands_test.py
@@ -1,4 +1,4 @@
-"""The command line: results, findings and exit codes."""
+"""Tests of the command line: output, findings and exit codes."""
 
 import orjson
 import pytest
@@ -16,63 +16,63 @@
 )
 
 
-def _seeds(cluster):
+def _format_seeds(cluster):
     return ','.join(f'{host}:{port}' for host, port in cluster.seeds)
 
 
-def _run(words):
+def _run(arguments):
     try:
-        return main(words)
+        return main(arguments)
     except SystemExit as exc:
         return exc.code
 
 
-def test_call_reads_a_file(cluster, tmp_path, capsys):
-    """The whole answer is printed."""
-    source = tmp_path / 'prompt.txt'
-    source.write_text('Zürich – Łódź', encoding='utf-8')
-    code = _run(
+def test_call_prints_the_answer(cluster, tmp_path, capsys):
+    """`call` prints the answer to the prompt in a file."""
+    prompt_file = tmp_path / 'prompt.txt'
+    prompt_file.write_text('Zürich – Łódź', encoding='utf-8')
+    exit_code = _run(
         [
             'call',
-            f'--seeds={_seeds(cluster)}',
+            f'--seeds={_format_seeds(cluster)}',
             '--account=north-terminal',
             '--class=fares',
             '--max-tokens=3',
-            str(source),
+            str(prompt_file),
         ]
     )
-    wanted = expected_answer('small', source.read_bytes(), 3)
-    assert code == 0
-    assert capsys.readouterr().out == f'{wanted}\n'
+    expected = expected_answer('small', prompt_file.read_bytes(), 3)
+    assert exit_code == 0
+    assert capsys.readouterr().out == f'{expected}\n'
 
 
-def test_call_that_is_refused(cluster, tmp_path, capsys):
-    """A refusal goes to standard error with its outcome, and 1 is returned."""
-    source = tmp_path / 'prompt.txt'
-    source.write_text('a fare', encoding='utf-8')
-    code = _run(
+def test_rejected_call(cluster, tmp_path, capsys):
+    """A rejected call prints its outcome to standard error and returns 1."""
+    prompt_file = tmp_path / 'prompt.txt'
+    prompt_file.write_text('a fare', encoding='utf-8')
+    exit_code = _run(
         [
             'call',
-            f'--seeds={_seeds(cluster)}',
+            f'--seeds={_format_seeds(cluster)}',
             '--account=north-terminal',
             '--class=complaints',
-            str(source),
+            str(prompt_file),
         ]
     )
-    assert code == 1
+    assert exit_code == 1
     assert capsys.readouterr().err.startswith('not_run: unknown_class')
 
 
-def test_load_reports_and_plots(cluster, tmp_path, capsys):
-    """A small run gives its JSON report and a plot."""
+def test_load_writes_report_and_plot(cluster, tmp_path, capsys):
+    """`load` prints a JSON report and writes a plot."""
     mix = tmp_path / 'mix.json'
     mix.write_bytes(orjson.dumps(_MIX))
     plot = tmp_path / 'plot.png'
-    code = _run(
+    exit_code = _run(
         [
             'load',
             str(mix),
-            f'--seeds={_seeds(cluster)}',
+            f'--seeds={_format_seeds(cluster)}',
             '--rate=20',
             '--duration-s=1',
             '--check-answers=yes',
@@ -80,7 +80,7 @@
         ]
     )
     report = orjson.loads(capsys.readouterr().out)
-    assert code == 0
+    assert exit_code == 0
     assert report['outcomes'] == {'ok': report['asked']}
     assert not report['wrong_answers']
     assert report['slowdown']['1-4k']['count'] == report['asked']
@@ -88,7 +88,7 @@
 
 
 def test_dump_prints_the_state(cluster, capsys):
-    """The state of a running process is printed as JSON."""
+    """`dump` prints the state of a running process as JSON."""
     host, port = cluster.seeds[0]
     assert _run(['dump', f'{host}:{port}']) == 0
     state = orjson.loads(capsys.readouterr().out)
@@ -97,7 +97,7 @@
 
 
 @pytest.mark.parametrize(
-    ('words', 'findings'),
+    ('arguments', 'findings'),
     [
         (['entry', '--instance=A'], ['--instance', '--data-centre', '--http']),
         (['entry', '--http=host:1'], ['--http', '--peer', '--platform']),
@@ -109,16 +109,16 @@
         (['standin', 'engine', '--models=Bad'], ['--bind', '--models']),
     ],
 )
-def test_all_findings_at_once(words, findings, capsys):
-    """Every wrong setting is named, and the exit code is 2."""
-    assert _run(words) == 2
+def test_all_findings_are_reported(arguments, findings, capsys):
+    """Every invalid setting is reported, with exit code 2."""
+    assert _run(arguments) == 2
     lines = capsys.readouterr().err.splitlines()
-    places = [line.split(':')[0] for line in lines]
-    assert set(findings) <= set(places)
+    locations = [line.split(':')[0] for line in lines]
+    assert set(findings) <= set(locations)
 
 
-def test_environment_is_read_and_flags_go_first(monkeypatch, capsys):
-    """A variable gives a setting unless a flag does."""
+def test_flags_override_the_environment(monkeypatch, capsys):
+    """A flag takes precedence over the environment variable."""
     monkeypatch.setenv('CRANKCHUTE_INSTANCE', 'Bad Name')
     assert _run(['entry']) == 2
     assert 'CRANKCHUTE_INSTANCE' in capsys.readouterr().err
@@ -126,10 +126,10 @@
     assert 'CRANKCHUTE_INSTANCE' not in capsys.readouterr().err
 
 
-@pytest.mark.parametrize('text', [b'{', b'[]', b'[{"account": 5}]'])
-def test_bad_mix_is_named(text, tmp_path, capsys):
-    """A mix that cannot be read is a finding."""
+@pytest.mark.parametrize('mix_bytes', [b'{', b'[]', b'[{"account": 5}]'])
+def test_invalid_mix_is_reported(mix_bytes, tmp_path, capsys):
+    """An invalid mix is reported with its path."""
     mix = tmp_path / 'mix.json'
-    mix.write_bytes(text)
+    mix.write_bytes(mix_bytes)
     assert _run(['load', str(mix), '--seeds=127.0.0.1:1']) == 2
     assert str(mix) in capsys.readouterr().err
