--- a/tests/path_test.py
+++ b/tests/path_test.py
@@ -1,4 +1,4 @@
-"""The whole path: callers' interface, streams, long prompts, services."""
+"""End-to-end tests: HTTP interface, streams, long prompts, services."""
 
 from http.client import HTTPConnection
 from types import MappingProxyType
@@ -24,14 +24,14 @@
 
 
 def _post(cluster, path, document):
-    conn = HTTPConnection(
+    connection = HTTPConnection(
         LOOPBACK,
         cluster.entries[0].port,
         timeout=30,
     )
-    conn.request('POST', path, orjson.dumps(document), dict(_HEADERS))
-    res = conn.getresponse()
-    return res.status, res.headers, res.read()
+    connection.request('POST', path, orjson.dumps(document), dict(_HEADERS))
+    response = connection.getresponse()
+    return response.status, response.headers, response.read()
 
 
 @pytest.mark.parametrize(
@@ -42,13 +42,13 @@
         ('complaints', 'audit-desk', 900_000),
     ],
 )
-def test_answer_is_whole(cluster, workload, account, tokens):
-    """Prompts of any length get their whole answer, and memory is freed."""
+def test_answer_is_complete(cluster, workload, account, tokens):
+    """Prompts of any length get a complete answer, and memory is freed."""
     prompt = make_prompt(tokens, seed=1)
     options = CallOptions(workload, 60_000, model='small', max_tokens=9)
-    end = Session(cluster.seeds, account).complete(prompt, options)
-    assert end.code is None
-    assert end.text == expected_answer('small', prompt.encode(), 9)
+    call_result = Session(cluster.seeds, account).complete(prompt, options)
+    assert call_result.code is None
+    assert call_result.text == expected_answer('small', prompt.encode(), 9)
     pinned = [
         engine.fetch('GET', '/admin/state')[1]['pinned']
         for engine in cluster.engines
@@ -66,21 +66,21 @@
         ),
     ],
 )
-def test_usual_interface(cluster, path, body):
-    """Both forms answer whole, and in events with an explicit end."""
+def test_compatible_interface(cluster, path, body):
+    """Both endpoints answer as one document and as an event stream."""
     document = {**body, 'model': 'small', 'max_tokens': 3}
-    wanted = expected_answer('small', b'user: hello\n', 3)
-    status, _, whole = _post(cluster, path, document)
-    choice = orjson.loads(whole)['choices'][0]
+    expected = expected_answer('small', b'user: hello\n', 3)
+    status, _, body_bytes = _post(cluster, path, document)
+    choice = orjson.loads(body_bytes)['choices'][0]
     text = choice.get('text') or choice['message']['content']
-    assert (status, text, choice['finish_reason']) == (200, wanted, 'length')
+    assert (status, text, choice['finish_reason']) == (200, expected, 'length')
 
     status, headers, streamed = _post(
         cluster,
         path,
         {**document, 'stream': True},
     )
-    # A caller that waits is told so in comments, which its library skips.
+    # Keep-alive comments are not part of the answer.
     comment = KEEP_ALIVE.decode().removesuffix('\n\n')
     events = [
         event for event in streamed.decode().split('\n\n') if event != comment
@@ -92,28 +92,29 @@
     ]
     choices = [chunk['choices'][0] for chunk in chunks]
     texts = [
-        one.get('text') or one.get('delta', {}).get('content', '')
-        for one in choices
+        each_choice.get('text')
+        or each_choice.get('delta', {}).get('content', '')
+        for each_choice in choices
     ]
-    assert ''.join(texts) == wanted
+    assert ''.join(texts) == expected
     assert choices[-1]['finish_reason'] == 'length'
     assert chunks[-1]['usage']['completion_tokens'] == 3
 
 
 def test_booking_runs_once(cluster):
-    """A booking is answered, and its key was executed exactly once."""
+    """A booking is answered, and its key is executed exactly once."""
     request = ServiceRequest('booking', 'POST', '/bookings', b'{"seat": 4}')
-    end = Session(cluster.seeds, 'travel-web').call_service(
+    call_result = Session(cluster.seeds, 'travel-web').call_service(
         request,
         CallOptions('booking', 10_000),
     )
-    assert end.is_ok
+    assert call_result.is_ok
     counts = cluster.services[0].fetch('GET', '/admin/counts')[1]
-    assert counts[end.key] == 1
+    assert counts[call_result.key] == 1
 
 
 @pytest.mark.parametrize(
-    ('path', 'part'),
+    ('path', 'expected_text'),
     [
         ('/v1/models', b'"small"'),
         ('/healthz', b'ok'),
@@ -122,14 +123,14 @@
         ('/v1/state', b'"in_force"'),
     ],
 )
-def test_pages(cluster, path, part):
-    """Each page of an entry instance answers."""
-    conn = HTTPConnection(
+def test_pages(cluster, path, expected_text):
+    """Each page of an entry instance contains the expected text."""
+    connection = HTTPConnection(
         LOOPBACK,
         cluster.entries[0].port,
         timeout=10,
     )
-    conn.request('GET', path)
-    res = conn.getresponse()
-    assert res.status == 200
-    assert part in res.read()
+    connection.request('GET', path)
+    response = connection.getresponse()
+    assert response.status == 200
+    assert expected_text in response.read()
