--- a/tests/ablations_test.py
+++ b/tests/ablations_test.py
@@ -1,4 +1,4 @@
-"""Tests that every mechanism can still be left out of a copy."""
+"""Tests that each ablation applies to the current code."""
 
 import ast
 import shutil
@@ -12,7 +12,7 @@
 
 
 @pytest.mark.parametrize('name', list(mechanisms))
-def test_mechanism_is_left_out_of_a_copy(name, tmp_path):
+def test_ablation_changes_a_copy(name, tmp_path):
     path = mechanisms[name].path
     copy = tmp_path / path
     copy.parent.mkdir(parents=True)
@@ -21,11 +21,11 @@
     changed = copy.read_text()
     assert changed != (ROOT / path).read_text()
     ast.parse(changed)
-    # It is left out once only.
+    # The replaced text is gone, so a second run fails.
     with pytest.raises(ValueError, match='not there once'):
         main([name, str(tmp_path)])
 
 
-def test_unknown_mechanism_is_said_so(tmp_path, capsys):
+def test_unknown_ablation_is_reported(tmp_path, capsys):
     assert main(['luck', str(tmp_path)]) == 2
     assert 'luck' in capsys.readouterr().out
--- a/tests/mutations_test.py
+++ b/tests/mutations_test.py
@@ -1,4 +1,4 @@
-"""Tests that each guard that is taken out in turn still stands in the code."""
+"""Tests that each mutation applies to the current code."""
 
 import pytest
 
@@ -6,9 +6,11 @@
 from bench.mutations import MUTATIONS
 
 
-@pytest.mark.parametrize('mutation', MUTATIONS, ids=lambda one: one.title)
-def test_guard_is_there_once(mutation):
-    """One had been renamed, and nobody took it out any more."""
+@pytest.mark.parametrize(
+    'mutation', MUTATIONS, ids=lambda mutation: mutation.title
+)
+def test_mutated_text_occurs_once(mutation):
+    """Guards against mutations that a rename has made ineffective."""
     text = (ROOT / mutation.path).read_text(encoding='utf-8')
     assert text.count(mutation.replaced) == 1
     if mutation.scenario.endswith('.py'):
