--- a/crankchute/load/mix.py
+++ b/crankchute/load/mix.py
@@ -95,18 +95,18 @@
 class Arrival:
     """A request of the load plan."""
 
-    __slots__ = ('at_ms', 'profile', 'tokens')
+    __slots__ = ('at_ms', 'part', 'tokens')
 
-    def __init__(self, at_ms, profile, tokens):
+    def __init__(self, at_ms, part, tokens):
         """Create the arrival.
 
         Args:
           at_ms: Milliseconds from the start of the run.
-          profile: The entry of the mix that it belongs to.
+          part: The entry of the mix that it belongs to.
           tokens: The prompt length in tokens.
         """
         self.at_ms = at_ms
-        self.profile = profile
+        self.part = part
         self.tokens = tokens
 
 
--- a/crankchute/load/runner.py
+++ b/crankchute/load/runner.py
@@ -144,13 +144,11 @@
         self._report = report
         self._arrival = arrival
         self._prompt = make_prompt(arrival.tokens, number)
-        self._expected = runner.find_expected_answer(
-            arrival.profile, self._prompt
-        )
+        self._expected = runner.find_expected_answer(arrival.part, self._prompt)
         self.at_ms = arrival.at_ms
 
     def start(self):
-        self._runner.send(self._arrival.profile, self._prompt, self._on_result)
+        self._runner.send(self._arrival.part, self._prompt, self._on_result)
 
     def _on_result(self, call_result):
         self._runner.count_completed()
