--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements, the demonstration, and what they need to run processes."""
+"""Benchmarks, simulations, fault injection and the demonstration."""
