--- a/bench/ablations.py
+++ b/bench/ablations.py
@@ -1,10 +1,10 @@
-"""Leaves one mechanism out of a copy of the code, for experiments.
+"""Disables a mechanism in a copy of the source code, for experiments.
 
-Nothing of this is in the product: a mechanism is left out by a change of its
-source, so a copy differs in nothing else.
+The source is patched, so the product needs no switches for this and the copy
+has no other differences.
 
-    python -m bench.ablations               # the names
-    python -m bench.ablations NAME DIR      # leave NAME out of the copy in DIR
+    python -m bench.ablations               # list the names
+    python -m bench.ablations NAME DIR      # disable NAME in the copy in DIR
 """
 
 import sys
@@ -12,25 +12,25 @@
 
 from crankchute.core.registry import Registry
 
-#: Changes by the name of the mechanism that they leave out.
+#: Ablations by the name of the mechanism that they disable.
 mechanisms = Registry()
 _CORE = 'crankchute/core'
 _NODE = 'crankchute/platform/node.py'
 
 
 class Ablation:
-    """A change that leaves a mechanism out.
+    """A change of the source that disables a mechanism.
 
     Attributes:
-      path: The file, relative to the repository.
-      replaced: A text that stands once in it.
-      replacement: What takes its place.
+      path: The path of the file, relative to the repository root.
+      replaced: The text to replace, which occurs exactly once in the file.
+      replacement: The new text.
     """
 
     __slots__ = ('path', 'replaced', 'replacement')
 
     def __init__(self, path, replaced, replacement):
-        """Create the change.
+        """Create the ablation.
 
         Args:
           path: See the class.
@@ -42,135 +42,135 @@
         self.replacement = replacement
 
     def apply(self, root):
-        """Change the file of a copy.
+        """Patch the file in a copy of the repository.
 
         Args:
-          root: The copy's directory, a Path.
+          root: The root directory of the copy, a Path.
         Raises:
-          ValueError: If the text does not stand in the file exactly once.
+          ValueError: If the text does not occur exactly once in the file.
         """
-        path = root / self.path
-        text = path.read_text()
+        target = root / self.path
+        text = target.read_text()
         if text.count(self.replaced) != 1:
             raise ValueError(
                 f'{self.path}: {self.replaced!r} is not there once'
             )
-        path.write_text(text.replace(self.replaced, self.replacement))
+        target.write_text(text.replace(self.replaced, self.replacement))
 
 
-def _leave_out(name, path, replaced, replacement):
+def _register(name, path, replaced, replacement):
     mechanisms.register(name)(Ablation(path, replaced, replacement))
 
 
-_leave_out(
+_register(
     'sharing of news',
     f'{_CORE}/sharing.py',
     'self._outbox.append(WorkNews(change, work))',
     'WorkNews(change, work)',
 )
-_leave_out(
+_register(
     'all work at once',
     f'{_CORE}/work_feed.py',
     'if self._owes_snapshot:',
     'if self._owes_snapshot and not self:',
 )
-_leave_out(
+_register(
     'followers',
     f'{_CORE}/sharing.py',
     '_MAX_FOLLOWERS = 9',
     '_MAX_FOLLOWERS = 0',
 )
-_leave_out(
+_register(
     'few active instances',
     f'{_CORE}/active_choice.py',
     '_MIN_ACTIVE = 3',
     '_MIN_ACTIVE = 99',
 )
-_leave_out(
+_register(
     'reports at the start',
     f'{_CORE}/load_survey.py',
     '_MAX_POLLED = 64',
     '_MAX_POLLED = 0',
 )
-_leave_out(
+_register(
     'load told on answers',
     f'{_CORE}/forward_attempt.py',
     'if head.load is not None:',
     'if head.load is not None and not self:',
 )
-_leave_out(
+_register(
     'joint reading',
     f'{_CORE}/engine_chooser.py',
     'max_parts = min(_MAX_PARTS, len(available))',
     'max_parts = min_parts',
 )
-_leave_out(
+_register(
     'memory set aside',
     f'{_CORE}/engine_plans.py',
     '_MAX_MEMORY_SHARE = 0.5',
     '_MAX_MEMORY_SHARE = 99',
 )
-_leave_out(
+_register(
     'engines kept for long prompts',
     f'{_CORE}/engine_chooser.py',
     '_RESERVED_ENGINE_COST = 0.12',
     '_RESERVED_ENGINE_COST = 0',
 )
-_leave_out(
+_register(
     'harm to others',
     f'{_CORE}/engine_plans.py',
     'return sum(weights.values())',
     'return 0 * sum(weights.values())',
 )
-_leave_out(
+_register(
     'harm to what waits',
     f'{_CORE}/engine_plans.py',
     'if goes_first:',
     'if goes_first and not self:',
 )
-_leave_out(
+_register(
     'refusals for harm',
     f'{_CORE}/prompt_admission.py',
     'is_admitted = is_underserved or is_worth_admitting(estimate)',
     'is_admitted = True',
 )
-_leave_out(
+_register(
     'suspicion',
     f'{_CORE}/suspicion.py',
     'return failures / (failures + successes + _PRIOR_SUCCESSES)',
     'return 0 * (failures + successes)',
 )
-_leave_out(
+_register(
     'slowness',
     f'{_CORE}/engine_board.py',
     'return 1 + (self._slowness - 1) * decay',
     'return 1 + 0 * decay',
 )
-_leave_out(
+_register(
     'breaker',
     f'{_CORE}/breaker.py',
     'return not self._has_trial and now_ms >= self._retry_at_ms',
     'return now_ms > 0',
 )
-_leave_out(
+_register(
     'overdue signs',
     f'{_CORE}/forward_attempt.py',
     'self.backend.suspicion.note_failure(self._desk.now_ms())',
     'self.backend.suspicion.note_failure(self._desk.now_ms(), 0)',
 )
-_leave_out(
+_register(
     'probing of silent hosts',
     'crankchute/adapters/sockets.py',
     'sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)',
     'sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 0)',
 )
-_leave_out(
+_register(
     'early requests',
     _NODE,
     '_FIRST_ANSWERS_MS = 60',
     '_FIRST_ANSWERS_MS = 0',
 )
-_leave_out(
+_register(
     'retries of 500',
     f'{_CORE}/forward_flow.py',
     'may_repeat = is_fault and self.job.may_repeat',
@@ -179,10 +179,10 @@
 
 
 def main(arguments):
-    """Print the names, or leave one mechanism out of a copy.
+    """List the mechanisms, or disable one in a copy.
 
     Args:
-      arguments: Nothing, or a name and a directory.
+      arguments: Either empty, or a name and a directory.
     Returns:
       The exit code.
     """
@@ -191,7 +191,7 @@
         return 0
     name, root = arguments
     if name not in mechanisms:
-        print(f'there is no mechanism {name!r}')
+        print(f'unknown mechanism {name!r}')
         return 2
     mechanisms[name].apply(Path(root))
     return 0
