--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,7 +1,8 @@
-"""`make capacity`: measures the slopes and rewrites the tables of the page.
+"""`make capacity`: measures resource costs by size and updates CAPACITY.md.
 
-Real entry processes at several sizes, and the core alone with hundreds of
-members.  Tables of docs/CAPACITY.md stand between markers and are replaced.
+Runs clusters of real entry processes in several sizes, and the core alone with
+up to hundreds of members.  Replaces the tables between the markers in
+docs/CAPACITY.md.
 """
 
 import argparse
@@ -17,18 +18,18 @@
 from bench.cluster import LOOPBACK, ROOT, Cluster, Shape, wait_for
 from bench.path import build_raw, read_cpu_s
 
-_PAGE = ROOT / 'docs' / 'CAPACITY.md'
-_WATCH_S = 10
-_PAGE_BYTES = os.sysconf('SC_PAGE_SIZE')
+_PAGE_PATH = ROOT / 'docs' / 'CAPACITY.md'
+_MEASUREMENT_S = 10
+_MEMORY_PAGE_BYTES = os.sysconf('SC_PAGE_SIZE')
 _MB = 1_000_000
 _READ_SIZE = 65_536
-_ENGINES = (2, 12, 24, 36)
-_MEMBERS = (25, 100, 400, 780)
-_ACCOUNTS = (1000, 5000, 20_000)
-_LISTED = (6, 322, 2900)
-_INSTANCES = (6, 87, 780)
-_LIMITED = (500, 2000)
-#: Table, column of sizes, and column of costs of each fit.
+_ENGINE_COUNTS = (2, 12, 24, 36)
+_MEMBER_COUNTS = (25, 100, 400, 780)
+_ACCOUNT_COUNTS = (1000, 5000, 20_000)
+_LISTED_ENGINE_COUNTS = (6, 322, 2900)
+_INSTANCE_COUNTS = (6, 87, 780)
+_LIMITED_ACCOUNT_COUNTS = (500, 2000)
+#: The linear fits: table, independent column, dependent column.
 _FITS = (
     ('nodes', 'entries', 'cpu_percent'),
     ('nodes', 'entries', 'peer_bytes_per_s'),
@@ -45,31 +46,31 @@
     """Return the resident memory of a process, in megabytes.
 
     Args:
-      pid: The id of a process that was started here.
+      pid: The process id.
     """
     pages = Path(f'/proc/{pid}/statm').read_text(encoding='ascii').split()[1]
-    return int(pages) * _PAGE_BYTES / _MB
+    return int(pages) * _MEMORY_PAGE_BYTES / _MB
 
 
-def measure_processes(entries, engines):
-    """Watch a cluster at rest.
+def measure_idle_cluster(entries, engines):
+    """Measure the resource use of an idle cluster.
 
     Args:
-      entries: How many entry instances.
-      engines: How many engines.
+      entries: The number of entry instances.
+      engines: The number of engines.
     Returns:
-      A map of figures for one entry instance, as means over all of them.
+      A dict of values per entry instance, averaged over all of them.
     """
     shape = Shape(entries=entries, engines=engines)
     with tempfile.TemporaryDirectory() as folder:
         with Cluster(shape, folder) as cluster:
             poll_bytes = _measure_poll_bytes(cluster.engines[0])
-            before = _read_all(cluster)
-            time.sleep(_WATCH_S)
-            after = _read_all(cluster)
+            before = _sum_usage(cluster)
+            time.sleep(_MEASUREMENT_S)
+            after = _sum_usage(cluster)
     rates = [
-        (later - sooner) / _WATCH_S / entries
-        for sooner, later in zip(before, after)
+        (later - earlier) / _MEASUREMENT_S / entries
+        for earlier, later in zip(before, after)
     ]
     return {
         'entries': entries,
@@ -84,32 +85,34 @@
     }
 
 
-def measure_change(entries):
-    """Measure how long a change takes to be in force everywhere.
+def measure_config_rollout(entries):
+    """Measure the time until all instances apply a configuration change.
 
     Args:
-      entries: How many entry instances.
+      entries: The number of entry instances.
     Returns:
-      A map of figures.
+      A dict from column name to value.
     """
     with tempfile.TemporaryDirectory() as folder:
         with Cluster(Shape(entries=entries, engines=3), folder) as cluster:
             started = time.monotonic()
             revision = cluster.publish('policy', {'routing': 'two-choices'})
-            wait_for(lambda: _all_at(cluster, revision), pause_s=0.02)
+            wait_for(
+                lambda: _is_in_force_everywhere(cluster, revision), pause_s=0.02
+            )
             elapsed = time.monotonic() - started
     return {'entries': entries, 'all_in_force_s': round(elapsed, 2)}
 
 
-def fit(rows, x_name, y_name):
-    """Fit a line through two columns.
+def fit_line(rows, x_name, y_name):
+    """Fit a line to two columns by least squares.
 
     Args:
-      rows: Maps of figures, at least two.
-      x_name: The column of sizes.
-      y_name: The column of costs.
+      rows: Dicts from column name to value, at least two.
+      x_name: The independent column.
+      y_name: The dependent column.
     Returns:
-      A map with slope, intercept and the largest relative error.
+      A dict with the slope, the intercept and the largest relative error.
     """
     sizes = [row[x_name] for row in rows]
     costs = [row[y_name] for row in rows]
@@ -127,11 +130,11 @@
     }
 
 
-def write_table(rows):
+def format_table(rows):
     """Return rows as a Markdown table.
 
     Args:
-      rows: Maps with the same keys.
+      rows: Dicts with the same keys.
     """
     names = list(rows[0])
     lines = [names, ['---' for _ in names]]
@@ -140,74 +143,84 @@
 
 
 def replace_table(page, name, table):
-    """Return a page with one of its marked tables replaced.
+    """Return a page with the table between two markers replaced.
 
     Args:
-      page: The page's text.
-      name: The marker's name.
+      page: The text of the page.
+      name: The name in the start marker.
       table: The new table.
     Raises:
-      ValueError: If the marker is not there.
+      ValueError: If a marker is missing.
     """
     start = f'<!-- table {name} -->\n'
     end = '<!-- end -->'
     head, _, rest = page.partition(start)
     _, found, tail = rest.partition(end)
     if not found:
-        raise ValueError(f'the page has no table {name!r}')
+        raise ValueError(f'missing marker for table {name!r}')
     return f'{head}{start}{table}\n{end}{tail}'
 
 
 def collect_tables(sizes):
-    """Measure everything.
+    """Run all measurements.
 
     Args:
-      sizes: Numbers of entry processes, a list.
+      sizes: A list of numbers of entry processes.
     Returns:
-      A map from table name to rows.
+      A dict from table name to rows.
     """
     core = capacity_core
     tables = {
-        'nodes': [measure_processes(size, 6) for size in sizes],
-        'engines': [measure_processes(2, size) for size in _ENGINES],
-        'changes': [measure_change(size) for size in sizes],
-        'membership': [core.measure_membership(size) for size in _MEMBERS],
-        'config': [core.measure_config(size) for size in _ACCOUNTS],
-        'dispatch': [core.measure_dispatch(size) for size in _LISTED],
-        'addresses': [core.measure_addresses(size) for size in _INSTANCES],
-        'limits': [core.measure_limits(size) for size in _LIMITED],
+        'nodes': [measure_idle_cluster(size, 6) for size in sizes],
+        'engines': [measure_idle_cluster(2, size) for size in _ENGINE_COUNTS],
+        'changes': [measure_config_rollout(size) for size in sizes],
+        'membership': [
+            core.measure_membership(size) for size in _MEMBER_COUNTS
+        ],
+        'config': [core.measure_config(size) for size in _ACCOUNT_COUNTS],
+        'dispatch': [
+            core.measure_dispatch(size) for size in _LISTED_ENGINE_COUNTS
+        ],
+        'addresses': [
+            core.measure_addresses(size) for size in _INSTANCE_COUNTS
+        ],
+        'limits': [
+            core.measure_limits(size) for size in _LIMITED_ACCOUNT_COUNTS
+        ],
     }
     tables['fits'] = [
-        fit(tables[table], x_name, y_name) for table, x_name, y_name in _FITS
+        fit_line(tables[table], x_name, y_name)
+        for table, x_name, y_name in _FITS
     ]
     return tables
 
 
 def main():
-    """Measure, print the tables, and rewrite the page."""
+    """Run the measurements, print the tables and update the page."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--sizes', default='6,12,24,48')
-    flags = parser.parse_args()
-    sizes = [int(size) for size in flags.sizes.split(',')]
+    args = parser.parse_args()
+    sizes = [int(size) for size in args.sizes.split(',')]
     tables = collect_tables(sizes)
-    page = _PAGE.read_text(encoding='utf-8')
+    page = _PAGE_PATH.read_text(encoding='utf-8')
     for name, rows in tables.items():
-        table = write_table(rows)
+        table = format_table(rows)
         print(f'{name}\n{table}\n', flush=True)
         page = replace_table(page, name, table)
-    _PAGE.write_text(page, encoding='utf-8')
+    _PAGE_PATH.write_text(page, encoding='utf-8')
     return 0
 
 
-def _read_all(cluster):
-    """Return the sums of what all entry instances have used so far."""
+def _sum_usage(cluster):
+    """Return the resource use of all entry instances so far, summed."""
     readings = [
-        _read_one(cluster.state(one), one.pid) for one in cluster.entries
+        _read_usage(cluster.state(entry), entry.pid)
+        for entry in cluster.entries
     ]
     return [sum(column) for column in zip(*readings)]
 
 
-def _read_one(state, pid):
+def _read_usage(state, pid):
     counters = state['counters']
     messages = [
         count
@@ -226,14 +239,14 @@
 
 
 def _measure_poll_bytes(engine):
-    """Return the bytes of one load question and its answer."""
-    raw = build_raw('GET', '/v1/load?since=0', ())
+    """Return the size of a load poll, request and response, in bytes."""
+    request = build_raw('GET', '/v1/load?since=0', ())
     with socket.create_connection((LOOPBACK, engine.port)) as sock:
-        sock.sendall(raw)
-        return len(raw) + len(sock.recv(_READ_SIZE))
+        sock.sendall(request)
+        return len(request) + len(sock.recv(_READ_SIZE))
 
 
-def _all_at(cluster, revision):
+def _is_in_force_everywhere(cluster, revision):
     return all(
         cluster.state(entry)['config']['in_force'] == revision
         for entry in cluster.entries
