--- a/bench/capacity_core.py
+++ b/bench/capacity_core.py
@@ -1,7 +1,7 @@
-"""Slopes of the core alone, over fakes, with hundreds of members.
+"""Microbenchmarks of the core on fake ports, in one process.
 
-Each function measures one thing at several sizes and returns rows; nothing
-here opens a socket.
+Each function measures one operation at a given size and returns a table row.
+No sockets are opened.
 """
 
 import random
@@ -31,114 +31,120 @@
 from crankchute.core.replica import ChangeSet, Entry
 from crankchute.ports.metrics import Metrics
 
-_ROUNDS = 12
-_SHARD = 500
+_IDLE_ROUNDS = 12
+_ACCOUNTS_PER_SHARD = 500
 _REPEATS = 200
-_REPORTING = 24
-_MOST_ROUNDS = 60
+_REPORTING_ENGINES = 24
+_MAX_ROUNDS = 60
 
 
 def measure_membership(size):
-    """Measure rounds at rest, news, and a death.
+    """Measure idle gossip rounds, and how fast changes propagate.
 
     Args:
-      size: How many nodes.
+      size: The number of nodes.
     Returns:
-      A map of figures for one node.
+      A dict from column name to value, per node where it applies.
     """
     network = build_network(size)
     started = time.process_time()
-    for _ in range(_ROUNDS):
+    for _ in range(_IDLE_ROUNDS):
         network.run_round()
-    spent = time.process_time() - started
-    rest = _ROUNDS * size
+    cpu_s = time.process_time() - started
+    node_rounds = _IDLE_ROUNDS * size
     figures = {
         'nodes': size,
-        'messages_per_round': round(network.messages / rest, 2),
-        'bytes_per_round': round(network.payload / rest),
-        'cpu_ms_per_round': round(spent / rest * 1000, 3),
+        'messages_per_round': round(network.messages / node_rounds, 2),
+        'bytes_per_round': round(network.payload / node_rounds),
+        'cpu_ms_per_round': round(cpu_s / node_rounds * 1000, 3),
     }
-    figures.update(_measure_news(network))
+    figures.update(_measure_propagation(network))
     return figures
 
 
-def _measure_news(network):
-    teller = next(iter(network.nodes))
-    network.nodes[teller].announce(draining=True)
-    knows_news = partial(_knows_draining, network, teller)
-    news = _count_rounds(network, knows_news)
-    network.dead.add(teller)
-    knows_loss = partial(_knows_lost, network, teller)
-    loss = _count_rounds(network, knows_loss)
-    return {'rounds_for_news': news, 'rounds_to_suspect_everywhere': loss}
+def _measure_propagation(network):
+    source = next(iter(network.nodes))
+    network.nodes[source].announce(draining=True)
+    is_update_known = partial(_is_draining_known, network, source)
+    update_rounds = _count_rounds(network, is_update_known)
+    network.dead.add(source)
+    is_failure_known = partial(_is_failure_known, network, source)
+    failure_rounds = _count_rounds(network, is_failure_known)
+    return {
+        'rounds_for_news': update_rounds,
+        'rounds_to_suspect_everywhere': failure_rounds,
+    }
 
 
 def measure_config(accounts):
-    """Measure taking a configuration, and one change of it.
+    """Measure loading a configuration and applying one change.
 
     Args:
-      accounts: How many client accounts.
+      accounts: The number of client accounts.
     Returns:
-      A map of figures.
+      A dict from column name to value.
     """
     documents = _make_shards(accounts)
     shard = orjson.loads(documents['accounts/0'])
-    changed = orjson.dumps([dict(one, weight=2) for one in shard])
+    changed = orjson.dumps([dict(account, weight=2) for account in shard])
     entries = {key: Entry(1, text) for key, text in documents.items()}
-    whole = ChangeSet(0, 1, entries)
+    snapshot = ChangeSet(0, 1, entries)
     holder = ConfigHolder()
     change = ChangeSet(1, 2, {'accounts/0': Entry(2, changed)})
     return {
         'accounts': accounts,
         'document_kb': round(sum(map(len, documents.values())) / 1000),
-        'first_ms': _time_offer(holder, whole),
-        'change_ms': _time_offer(holder, change),
-        'kept_mb': _trace_holder(whole),
+        'first_ms': _measure_offer_ms(holder, snapshot),
+        'change_ms': _measure_offer_ms(holder, change),
+        'kept_mb': _measure_holder_mb(snapshot),
     }
 
 
-def _time_offer(holder, changes):
+def _measure_offer_ms(holder, changes):
     started = time.process_time()
     holder.offer(changes)
     return round((time.process_time() - started) * 1000, 1)
 
 
-def _trace_holder(changes):
+def _measure_holder_mb(changes):
     tracemalloc.start()
     holder = ConfigHolder()
     holder.offer(changes)
-    kept = tracemalloc.get_traced_memory()[0]
+    allocated = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    return round(kept / 1_000_000, 1)
+    return round(allocated / 1_000_000, 1)
 
 
 def measure_dispatch(engines):
-    """Measure admitting and placing a request, with its end.
+    """Measure admitting, dispatching and completing a request.
 
     Args:
-      engines: How many engines the instance list names; 24 of them report.
+      engines: The number of engines in the instance list; only the first
+        few report their load.
     Returns:
-      A map of figures.
+      A dict from column name to value.
     """
-    dispatcher, fakes, clock = _make_dispatcher(engines)
+    dispatcher, engine_port, clock = _make_dispatcher(engines)
     started = time.process_time()
     for number in range(_REPEATS):
         job = make_job(request_id=f'r{number}', max_tokens=1)
         dispatcher.submit(job, RecordingSink(job, clock))
-        generation = fakes.generating.pop()
+        generation = engine_port.generating.pop()
         generation.send('next')
         generation.send('end')
-    spent = time.process_time() - started
+    cpu_s = time.process_time() - started
     return {
         'engines_listed': engines,
-        'cpu_ms_per_request': round(spent / _REPEATS * 1000, 3),
+        'cpu_ms_per_request': round(cpu_s / _REPEATS * 1000, 3),
     }
 
 
 def _make_dispatcher(engines):
     timers = ManualTimers()
     fleet = Fleet()
-    fleet.replace([make_listed(f'engine-{one}') for one in range(engines)])
+    fleet.replace(
+        [make_listed(f'engine-{number}') for number in range(engines)]
+    )
     ports = Ports(
         engines=FakeEngines(),
         timers=timers,
@@ -148,44 +154,56 @@
     limits = AccountLimits(timers.clock)
     dispatcher = Dispatcher(ports, fleet, limits, 'dc-1')
     dispatcher.config = load_config(1, make_documents())
-    for backend in list(fleet)[:_REPORTING]:
+    for backend in list(fleet)[:_REPORTING_ENGINES]:
         fleet.note_load(backend, make_load(0))
     return dispatcher, ports.engines, timers.clock
 
 
 def measure_addresses(size):
-    """Measure an address answer among a number of instances."""
+    """Measure choosing the addresses that a client gets.
+
+    Args:
+      size: The number of instances to choose from.
+    Returns:
+      A dict from column name to value.
+    """
     members = [make_member(index) for index in range(size)]
     started = time.process_time()
     for number in range(_REPEATS):
         choose_addresses(members, f'account-{number}', 3, 'dc-0')
-    spent = time.process_time() - started
+    cpu_s = time.process_time() - started
     return {
         'nodes': size,
-        'cpu_ms_per_answer': round(spent / _REPEATS * 1000, 3),
+        'cpu_ms_per_answer': round(cpu_s / _REPEATS * 1000, 3),
     }
 
 
 def measure_limits(accounts):
-    """Measure the memory of the records of accounts in use."""
+    """Measure the memory of the usage records of active accounts.
+
+    Args:
+      accounts: The number of client accounts.
+    Returns:
+      A dict from column name to value.
+    """
     config = load_config(1, _make_shards(accounts))
     limits = AccountLimits(ManualTimers().clock)
     tracemalloc.start()
     for account in config.accounts.values():
         limits.use_of(account).admit(1000, 0)
-    kept = tracemalloc.get_traced_memory()[0]
+    allocated = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     return {
         'accounts': accounts,
-        'bytes_per_account': round(kept / accounts),
+        'bytes_per_account': round(allocated / accounts),
     }
 
 
 def _make_shards(accounts):
     documents = make_documents()
     documents.pop('accounts')
-    for start in range(0, accounts, _SHARD):
-        names = range(start, min(start + _SHARD, accounts))
+    for start in range(0, accounts, _ACCOUNTS_PER_SHARD):
+        names = range(start, min(start + _ACCOUNTS_PER_SHARD, accounts))
         shard = [
             {
                 'name': f'acc-{number}',
@@ -196,25 +214,27 @@
             }
             for number in names
         ]
-        documents[f'accounts/{start // _SHARD}'] = orjson.dumps(shard)
+        documents[f'accounts/{start // _ACCOUNTS_PER_SHARD}'] = orjson.dumps(
+            shard
+        )
     return documents
 
 
-def _count_rounds(network, is_known):
+def _count_rounds(network, is_done):
     rounds = 0
-    while not is_known() and rounds < _MOST_ROUNDS:
+    while not is_done() and rounds < _MAX_ROUNDS:
         network.run_round()
         rounds += 1
     return rounds
 
 
-def _knows_draining(network, teller):
-    return all(node.get(teller).draining for node in network.nodes.values())
+def _is_draining_known(network, source):
+    return all(node.get(source).draining for node in network.nodes.values())
 
 
-def _knows_lost(network, teller):
+def _is_failure_known(network, source):
     return all(
-        node.get(teller) is None or node.get(teller).status != Status.ALIVE
+        node.get(source) is None or node.get(source).status != Status.ALIVE
         for name, node in network.nodes.items()
         if name not in network.dead
     )
