--- a/bench/choice_cost.py
+++ b/bench/choice_cost.py
@@ -1,7 +1,7 @@
-"""What choosing engines costs, by their number and the prompt's length.
+"""Benchmark of the engine chooser, by number of engines and prompt length.
 
-Two thirds of the engines write.  Prints the median of some choices, in
-milliseconds of processor, in a process of its own:
+Most engines are decoding answers.  Prints the median CPU time of a choice in
+milliseconds:
 
     python -m bench.choice_cost
 """
@@ -16,26 +16,26 @@
 from crankchute.core.forward_fakes import make_backends, make_job, make_parts
 from crankchute.core.forward_job import PromptSize
 
-_SIZES = (18, 60, 150, 600, 2900)
-_PROMPTS = (5_000, 100_000, 500_000)
-_CHOICES = 15
-_WRITING = 2 / 3
+_ENGINE_COUNTS = (18, 60, 150, 600, 2900)
+_PROMPT_TOKENS = (5_000, 100_000, 500_000)
+_REPEATS = 15
+_DECODING_SHARE = 2 / 3
 _MS_PER_SECOND = 1000
 _GOAL_MS = 2500
 
 
 def make_chooser(engines, seed):
-    """Return an EngineChooser over engines of which two thirds write.
+    """Return an EngineChooser over engines of which most are decoding.
 
     Args:
-      engines: How many.
-      seed: Of the random numbers.
+      engines: The number of engines.
+      seed: The seed of the random numbers.
     """
     backends = make_backends(engines)
     parts = make_parts(ManualTimers(), lambda: backends)
     parts.random = random.Random(seed)
     for backend in backends:
-        if parts.random.random() < _WRITING:
+        if parts.random.random() < _DECODING_SHARE:
             key = f'writer-{backend.identity}'
             parts.board.add(make_work(key, backend.identity))
             parts.board.start(backend.identity, key)
@@ -43,28 +43,28 @@
 
 
 def measure_choice(engines, tokens):
-    """Return the median processor time of a choice, in milliseconds.
+    """Return the median CPU time of a choice, in milliseconds.
 
     Args:
-      engines: How many there are.
-      tokens: The prompt's length.
+      engines: The number of engines.
+      tokens: The prompt length in tokens.
     """
     chooser = make_chooser(engines, engines)
     job = make_job(size=PromptSize(tokens, 1000), goal_ms=_GOAL_MS)
-    spent = []
-    for _ in range(_CHOICES):
-        began = time.process_time()
+    samples = []
+    for _ in range(_REPEATS):
+        started = time.process_time()
         chooser.choose(job, set())
-        spent.append((time.process_time() - began) * _MS_PER_SECOND)
-    return statistics.median(spent)
+        samples.append((time.process_time() - started) * _MS_PER_SECOND)
+    return statistics.median(samples)
 
 
 def main():
     """Print a row for each number of engines."""
-    print('| engines |', ' | '.join(f'{one:,}' for one in _PROMPTS), '|')
-    print('|---' * (len(_PROMPTS) + 1), end='|\n')
-    for engines in _SIZES:
-        costs = [measure_choice(engines, one) for one in _PROMPTS]
+    print('| engines |', ' | '.join(f'{one:,}' for one in _PROMPT_TOKENS), '|')
+    print('|---' * (len(_PROMPT_TOKENS) + 1), end='|\n')
+    for engines in _ENGINE_COUNTS:
+        costs = [measure_choice(engines, one) for one in _PROMPT_TOKENS]
         print('|', engines, *(f'| {cost:.2f}' for cost in costs), '|')
 
 
