--- a/bench/cluster.py
+++ b/bench/cluster.py
@@ -1,8 +1,7 @@
-"""Runs the system and its stand-ins as processes on loopback.
+"""Runs Crankchute and its stand-ins as local processes on loopback.
 
-The system itself starts no processes; this is for the demonstration, the
-measurements and the tests of failures.  Only processes started here are ever
-signalled, by their ids.
+Used by the demonstration, the benchmarks and the fault-injection tests.  Only
+processes started here are signalled, by process id.
 """
 
 import os
@@ -21,22 +20,22 @@
 from crankchute.standins.ports import LOOPBACK, pick_ports
 
 ROOT = Path(__file__).resolve().parent.parent
-_CENTRES = ('dc-1', 'dc-2', 'dc-3')
-#: How many engines an entry instance asks for their load.
-_ENGINES_ASKED = 24
+_DATA_CENTRES = ('dc-1', 'dc-2', 'dc-3')
+#: The most engines whose load an entry instance polls.
+_MAX_POLLED_ENGINES = 24
 
 
 def fetch(port, method, path, document=None, timeout_s=10):
-    """Make one request to a process on loopback.
+    """Send an HTTP request to a process on loopback.
 
     Args:
       port: The port.
       method: The HTTP method.
       path: The path.
-      document: Bytes, or a JSON document, or None.
-      timeout_s: Seconds to wait.
+      document: The body: bytes, a value to encode as JSON, or None.
+      timeout_s: The socket timeout in seconds.
     Returns:
-      A pair of the status and the JSON document of the answer.
+      A tuple of the status code and the decoded JSON body.
     """
     body = document
     if document is not None and not isinstance(document, bytes):
@@ -47,41 +46,47 @@
         return res.status, orjson.loads(res.read())
 
 
-def wait_for(question, timeout_s=30, pause_s=0.05):
-    """Ask a question until its answer is true.
+def wait_for(condition, timeout_s=30, pause_s=0.05):
+    """Poll a condition until it is true.
 
     Args:
-      question: A function without arguments; an OSError counts as no.
-      timeout_s: Seconds after which to give up.
-      pause_s: Seconds between two questions.
+      condition: A function without arguments; connection and HTTP errors count
+        as false.
+      timeout_s: The timeout in seconds.
+      pause_s: The polling interval in seconds.
     Returns:
-      The answer.
+      The true value that the condition returned.
     Raises:
-      TimeoutError: If it stays untrue.
+      TimeoutError: If the condition is still false after the timeout.
     """
-    give_up = time.monotonic() + timeout_s
-    while time.monotonic() < give_up:
+    deadline = time.monotonic() + timeout_s
+    while time.monotonic() < deadline:
         try:
-            answer = question()
+            answer = condition()
         except (OSError, HTTPException):
             answer = None
         if answer:
             return answer
         time.sleep(pause_s)
-    raise TimeoutError(f'{question} stayed untrue')
+    raise TimeoutError(f'{condition} was still false after the timeout')
 
 
-class Proc:
-    """A process started here."""
+class ServerProcess:
+    """A `crankchute` process.
+
+    Attributes:
+      name: The name used in messages and for the log file.
+      port: The port of its HTTP interface.
+    """
 
     def __init__(self, name, port, arguments, log_dir):
-        """Start `crankchute` with arguments.
+        """Start the process.
 
         Args:
-          name: A name for people.
+          name: The name used in messages and for the log file.
           port: The port of its HTTP interface.
-          arguments: The words after `crankchute`.
-          log_dir: Where its output goes.
+          arguments: The command-line arguments of `crankchute`.
+          log_dir: The directory of the log file.
         """
         self.name = name
         self.port = port
@@ -91,7 +96,7 @@
 
     @property
     def pid(self):
-        """The process's id."""
+        """The process id."""
         return self._popen.pid
 
     @property
@@ -100,7 +105,7 @@
         return self._popen.poll()
 
     def start(self):
-        """Start the process, also again after its end."""
+        """Start the process, or restart it after it has exited."""
         command = [sys.executable, '-m', 'crankchute', *self._arguments]
         with self._log.open('ab') as log:
             self._popen = subprocess.Popen(  # noqa: S603
@@ -112,32 +117,39 @@
             )
 
     def send(self, signo):
-        """Send the process a signal if it still runs."""
+        """Send a signal to the process if it is running."""
         if self.exit_code is None:
             os.kill(self.pid, signo)
 
     def kill(self):
-        """End the process at once and wait."""
+        """Kill the process with SIGKILL and wait for its exit."""
         self.send(signal.SIGKILL)
         self._popen.wait()
 
     def wait(self, timeout_s):
-        """Wait for the end and return the exit code."""
+        """Wait for the exit of the process and return its exit code."""
         return self._popen.wait(timeout_s)
 
     def fetch(self, method, path, document=None):
-        """Make one request to the process; see fetch."""
+        """Send an HTTP request to the process; see fetch."""
         return fetch(self.port, method, path, document)
 
 
 class Shape:
-    """How many processes of each kind there are, and their options."""
+    """The number of processes of each kind, and their options.
+
+    Attributes:
+      entries, engines, services: The number of processes.
+      config: The directory of the configuration to publish.
+      engine_flags, entry_flags: Additional command-line options.
+      engine_labels, service_labels: Labels in the instance list.
+    """
 
     def __init__(self, **fields):
-        """Create a shape.
+        """Create the description of a cluster.
 
         Args:
-          fields: Attributes that differ from their defaults.
+          fields: Values of attributes; the others get defaults.
         """
         self.entries = fields.get('entries', 6)
         self.engines = fields.get('engines', 6)
@@ -150,33 +162,35 @@
 
 
 class Cluster:
-    """The processes of one run.
+    """A running cluster; a context manager that stops it on exit.
 
     Attributes:
-      platform, entries, engines, services: The Procs.
+      shape: The Shape.
+      platform: The ServerProcess of the platform stand-in.
+      entries, engines, services: Lists of ServerProcesses.
     """
 
     def __init__(self, shape, log_dir):
-        """Start everything and wait until it serves.
+        """Start the processes; entering the context waits until they are ready.
 
         Args:
           shape: A Shape.
-          log_dir: A folder for the processes' output.
+          log_dir: The directory of the log files.
         """
         self.shape = shape
         self._log_dir = log_dir
         self.entries = []
         self.engines = []
         self.services = []
-        count = 1 + 2 * shape.entries + shape.engines + shape.services
-        self._ports = pick_ports(count)
+        port_count = 1 + 2 * shape.entries + shape.engines + shape.services
+        self._ports = pick_ports(port_count)
         self._start_platform()
         self._start_backends()
         self.publish_folder(shape.config)
         self._start_entries()
 
     def __enter__(self):
-        """Return the cluster, serving."""
+        """Wait until the cluster is ready and return it."""
         try:
             self.wait_ready()
         except BaseException:
@@ -185,37 +199,37 @@
         return self
 
     def __exit__(self, *_exc):
-        """End every process that was started."""
+        """Kill all processes."""
         self.stop()
 
     def stop(self):
-        """End every process that was started."""
+        """Kill all processes."""
         backends = self.engines + self.services
         for proc in (*self.entries, *backends, self.platform):
             proc.kill()
 
     @property
     def seeds(self):
-        """The HTTP addresses of the entry instances, a list of pairs."""
+        """The HTTP addresses of the entry instances, a list of (host, port)."""
         return [(LOOPBACK, proc.port) for proc in self.entries]
 
     def publish_folder(self, folder):
-        """Publish the documents of a folder, as an operator does."""
+        """Publish all configuration documents of a directory."""
         for key, document in read_folder(str(folder)).items():
             self.publish(key, document)
 
     def publish(self, key, document):
-        """Publish one document and return its revision."""
+        """Publish a configuration document and return its revision."""
         path = f'/admin/config/{key}'
         return self.platform.fetch('PUT', path, document)[1]['revision']
 
     def list_instance(self, record):
-        """Put one record into the instance list."""
+        """Add a record to the instance list of the platform, or replace it."""
         document = {'instances': [record]}
         self.platform.fetch('PUT', '/admin/instances', document)
 
     def engine_record(self, index, state='live'):
-        """Return the listed record of an engine."""
+        """Return the record of an engine for the instance list."""
         return self._backend_record(
             'engine',
             self.engines[index],
@@ -225,40 +239,40 @@
         )
 
     def state(self, entry):
-        """Return the dump of an entry instance."""
+        """Return the state dump of an entry instance."""
         return entry.fetch('GET', '/v1/state')[1]
 
     def wait_ready(self):
-        """Wait until every entry instance serves and knows every backend."""
+        """Wait until each entry instance knows all members and backends."""
         for entry in self.entries:
             wait_for(partial(self._is_ready, entry))
 
     def _is_ready(self, entry):
         for proc in (entry, *self.engines, *self.services):
             if proc.exit_code is not None:
-                raise RuntimeError(f'{proc.name} ended')
+                raise RuntimeError(f'{proc.name} exited')
         state = self.state(entry)
-        members = [
+        alive_members = [
             one
             for one in state['members']
             if one['status'] == 'alive' and not one['draining']
         ]
-        loaded = [
+        known_backends = [
             one
             for one in state['backends']
             if one['models'] or one['kind'] == 'service'
         ]
-        asked = min(self.shape.engines, _ENGINES_ASKED)
-        backends = asked + self.shape.services
-        has_all = len(members) >= self.shape.entries
-        return has_all and len(loaded) >= backends
+        polled = min(self.shape.engines, _MAX_POLLED_ENGINES)
+        expected_backends = polled + self.shape.services
+        has_all_members = len(alive_members) >= self.shape.entries
+        return has_all_members and len(known_backends) >= expected_backends
 
     def _start_platform(self):
         port = self._ports.pop()
-        self.platform = Proc(
+        self.platform = ServerProcess(
             'platform',
             port,
-            ['standin', 'platform', _flag('bind', port)],
+            ['standin', 'platform', _format_option('bind', port)],
             self._log_dir,
         )
         wait_for(lambda: self.platform.fetch('GET', '/admin/counts'))
@@ -274,19 +288,23 @@
         arguments = [
             'standin',
             'engine',
-            _flag('bind', port),
-            _flag('weights', self.platform.port),
+            _format_option('bind', port),
+            _format_option('weights', self.platform.port),
             '--models=small',
             *self.shape.engine_flags,
         ]
-        engine = Proc(f'engine-{index}', port, arguments, self._log_dir)
+        engine = ServerProcess(
+            f'engine-{index}', port, arguments, self._log_dir
+        )
         self.engines.append(engine)
         self.list_instance(self.engine_record(index))
 
     def _start_service(self, index):
         port = self._ports.pop()
-        arguments = ['standin', 'service', _flag('bind', port)]
-        service = Proc(f'service-{index}', port, arguments, self._log_dir)
+        arguments = ['standin', 'service', _format_option('bind', port)]
+        service = ServerProcess(
+            f'service-{index}', port, arguments, self._log_dir
+        )
         self.services.append(service)
         labels = self.shape.service_labels
         record = self._backend_record('service', service, index, 'live', labels)
@@ -295,25 +313,27 @@
     def _start_entries(self):
         for index in range(self.shape.entries):
             http_port, peer_port = self._ports.pop(), self._ports.pop()
-            centre = _CENTRES[index % len(_CENTRES)]
+            data_centre = _DATA_CENTRES[index % len(_DATA_CENTRES)]
             arguments = [
                 'entry',
                 f'--instance=entry-{index}',
-                f'--data-centre={centre}',
-                _flag('http', http_port),
-                _flag('peer', peer_port),
-                _flag('platform', self.platform.port),
+                f'--data-centre={data_centre}',
+                _format_option('http', http_port),
+                _format_option('peer', peer_port),
+                _format_option('platform', self.platform.port),
                 *self.shape.entry_flags,
             ]
-            entry = Proc(f'entry-{index}', http_port, arguments, self._log_dir)
+            entry = ServerProcess(
+                f'entry-{index}', http_port, arguments, self._log_dir
+            )
             self.entries.append(entry)
             self.list_instance(
                 {
                     'id': f'entry-{index}',
                     'kind': 'entry',
-                    'address': _at(http_port),
-                    'data_centre': centre,
-                    'labels': {'peer': _at(peer_port)},
+                    'address': _format_address(http_port),
+                    'data_centre': data_centre,
+                    'labels': {'peer': _format_address(peer_port)},
                     'state': 'live',
                 }
             )
@@ -322,16 +342,16 @@
         return {
             'id': f'{kind}-{index}',
             'kind': kind,
-            'address': _at(proc.port),
-            'data_centre': _CENTRES[index % len(_CENTRES)],
+            'address': _format_address(proc.port),
+            'data_centre': _DATA_CENTRES[index % len(_DATA_CENTRES)],
             'labels': labels,
             'state': state,
         }
 
 
-def _at(port):
+def _format_address(port):
     return f'{LOOPBACK}:{port}'
 
 
-def _flag(name, port):
-    return f'--{name}={_at(port)}'
+def _format_option(name, port):
+    return f'--{name}={_format_address(port)}'
