--- a/bench/crash_ways.py
+++ b/bench/crash_ways.py
@@ -1,10 +1,10 @@
-"""Ways to deal with requests that crash servers: `python -m bench.crash_ways`.
+"""Simulation of requests that crash servers: `python -m bench.crash_ways`.
 
-A few instances send requests to a pool of servers in virtual time.  Some
-requests end each server that begins to run them, and come again and again, each
-time at any instance; a part of them comes in bursts.  Servers also end for no
-request's sake, alone or many at the same moment, and networks cut connections.
-A run is the same on every machine.
+Compares functions that attribute crashes to requests.  A few instances send
+requests to a pool of servers in virtual time.  Two of the requests, the
+culprits, crash each server that runs them, and clients submit them repeatedly
+at random instances, sometimes in bursts.  Servers also crash for other reasons,
+one or several at once, and connections break.  Results depend on the seed only.
 """
 
 import argparse
@@ -29,29 +29,30 @@
 
 _INSTANCES = 3
 _SERVERS = 18
-_LENGTH_MS = 90_000
-#: Other requests come so often, and run for so long.
-_EACH_MS = 45
-_RUN_MS = (300, 2500)
-#: A request that ends servers does so after so long; they are back later.
-_END_MS = (30, 120)
-_BACK_MS = 3200
-#: How long news are on their way between instances.
-_WAY_MS = 5
-_CONTACT_MS = 3000
+_DURATION_MS = 90_000
+#: The mean interval and the range of service times of harmless requests.
+_REQUEST_INTERVAL_MS = 45
+_SERVICE_TIME_MS = (300, 2500)
+#: The time from the start of a culprit to the crash, and until the restart.
+_CRASH_DELAY_MS = (30, 120)
+_RESTART_MS = 3200
+#: The latency of messages between instances.
+_PEER_DELAY_MS = 5
+#: Time after which all instances should know the third crash of a culprit.
+_PROPAGATION_MS = 3000
 _CULPRITS = (1, 2)
-_FIRST_OTHER = 1000
-_MOST_ATTEMPTS = 2
-#: The name of the way that remembers nothing.
-_NOBODY = 'nobody'
+_FIRST_HARMLESS = 1000
+_MAX_ATTEMPTS = 2
+#: The attribution function that runs with a ledger that records no crashes.
+_WITHOUT_LEDGER = 'nobody'
 
 
 class Server:
-    """One server and what it works on.
+    """A simulated server.
 
     Attributes:
-      is_up: Whether its process runs, a bool.
-      runs: The Runs in progress, in order, keys of a map.
+      is_up: Whether its process is running, a bool.
+      runs: A dict whose keys are the RunningRequests, in order of arrival.
     """
 
     __slots__ = ('is_up', 'runs')
@@ -61,8 +62,8 @@
         self.is_up = True
         self.runs = {}
 
-    def end(self):
-        """End its process, and cut what it works on."""
+    def crash(self):
+        """Crash the process and fail the requests in progress."""
         self.is_up = False
         runs = self.runs
         self.runs = {}
@@ -70,27 +71,37 @@
             run.listener.on_failed(BackendError('closed', sent=True, cut=True))
 
 
-class Run:
-    """A request at a server, which can be given up."""
+class RunningRequest:
+    """A request in progress at a server.
+
+    Attributes:
+      server: The Server.
+      listener: The AttemptListener.
+      sent: Whether any bytes may have been sent, always true.
+    """
 
     __slots__ = ('listener', 'sent', 'server')
 
     def __init__(self, server, listener):
-        """Create the record."""
+        """Create the record of a request that was just sent."""
         self.server = server
         self.listener = listener
         self.sent = True
 
     def cancel(self):
-        """Give it up."""
+        """Cancel the request."""
         self.server.runs.pop(self, None)
 
 
-class Servers(ForwardPort):
-    """Servers by their ids."""
+class SimulatedServers(ForwardPort):
+    """A forwarding port to simulated servers.
+
+    Attributes:
+      by_id: A dict from server id to Server.
+    """
 
     def __init__(self, world):
-        """Create servers for a world's backends."""
+        """Create a server for each backend of a simulation."""
         self._world = world
         self.by_id = {one.identity: Server() for one in world.backends}
 
@@ -98,7 +109,7 @@
         """See ForwardPort."""
         world = self._world
         server = self.by_id[placement.backend.identity]
-        run = Run(server, listener)
+        run = RunningRequest(server, listener)
         if not server.is_up:
             exc = BackendError('refused', sent=False)
             world.timers.after(1, partial(listener.on_failed, exc))
@@ -106,11 +117,11 @@
         server.runs[run] = True
         is_culprit = job.fingerprint in _CULPRITS
         if is_culprit:
-            world.note_arrival(job.fingerprint)
-        low_ms, high_ms = _END_MS if is_culprit else _RUN_MS
-        length_ms = world.random.uniform(low_ms, high_ms)
-        ended = partial(self._finish, run, job.fingerprint)
-        world.timers.after(length_ms, ended)
+            world.record_arrival(job.fingerprint)
+        low_ms, high_ms = _CRASH_DELAY_MS if is_culprit else _SERVICE_TIME_MS
+        run_ms = world.random.uniform(low_ms, high_ms)
+        finish = partial(self._finish, run, job.fingerprint)
+        world.timers.after(run_ms, finish)
         return run
 
     def ask_listening(self, backend, on_known):
@@ -121,7 +132,7 @@
         if run not in run.server.runs:
             return
         if fingerprint in _CULPRITS:
-            self._world.end_server(run.server, fingerprint)
+            self._world.crash_server(run.server, fingerprint)
             return
         run.server.runs.pop(run)
         run.listener.on_head(AnswerHead(200))
@@ -129,82 +140,91 @@
 
 
 class World:
-    """Instances, servers and callers.
+    """A simulation of instances, servers and clients.
 
     Attributes:
-      ends: How many servers ended under each culprit, a map.
-      late: How many more arrivals of each culprit counted after that, a map.
-      cut: How many runs of others were broken off by culprits.
-      refused: How many others were refused as if they ended servers.
-      others: How many others came.
+      timers: The ManualTimers.
+      random: The random numbers of the run.
+      backends: The Backends.
+      port: The SimulatedServers.
+      ends: A dict from culprit to the number of crashes that it caused.
+      late: A dict from culprit to the number of its arrivals at servers after
+        all instances should know its third crash.
+      cut: The number of requests interrupted because a culprit crashed their
+        server.
+      refused: The number of harmless requests refused as culprits.
+      others: The number of harmless requests submitted.
     """
 
     def __init__(self, blame, seed):
-        """Create the world.
+        """Create the simulation.
 
         Args:
-          blame: The name of a way to blame requests.
-          seed: An int.
+          blame: The name of an attribution function.
+          seed: The seed of the random numbers, an int.
         """
         self.timers = ManualTimers()
         self.random = random.Random(seed)
         self.backends = make_backends(_SERVERS)
-        self.port = Servers(self)
+        self.port = SimulatedServers(self)
         self.ends = dict.fromkeys(_CULPRITS, 0)
         self.late = dict.fromkeys(_CULPRITS, 0)
         self.cut = 0
         self.refused = 0
         self.others = 0
-        self._third_ms = {}
+        self._third_crash_ms = {}
         self._ledgers = []
         self._desks = [self._make_desk(blame) for _ in range(_INSTANCES)]
 
     def play(self):
-        """Let callers come, and servers end, for a day."""
-        for number in range(int(_LENGTH_MS / _EACH_MS)):
-            fingerprint = _FIRST_OTHER + number
-            at_ms = self.random.uniform(0, _LENGTH_MS)
-            self.timers.after(at_ms, partial(self._ask, fingerprint))
+        """Run the simulation to its end."""
+        for number in range(int(_DURATION_MS / _REQUEST_INTERVAL_MS)):
+            fingerprint = _FIRST_HARMLESS + number
+            at_ms = self.random.uniform(0, _DURATION_MS)
+            self.timers.after(at_ms, partial(self._submit, fingerprint))
         for culprit in _CULPRITS:
             at_ms = 5000 * culprit
-            while at_ms < _LENGTH_MS:
+            while at_ms < _DURATION_MS:
                 for copy in range(self.random.choice((1, 1, 6))):
-                    ask = partial(self._ask, culprit)
-                    self.timers.after(at_ms + copy * 250, ask)
+                    submit = partial(self._submit, culprit)
+                    self.timers.after(at_ms + copy * 250, submit)
                 at_ms += self.random.uniform(1500, 15_000)
         for _ in range(6):
-            at_ms = self.random.uniform(0, _LENGTH_MS)
+            at_ms = self.random.uniform(0, _DURATION_MS)
             count = self.random.choice((1, 1, 4))
-            self.timers.after(at_ms, partial(self._lose_power, count))
+            self.timers.after(at_ms, partial(self._fail_power, count))
         for _ in range(100):
-            at_ms = self.random.uniform(0, _LENGTH_MS)
+            at_ms = self.random.uniform(0, _DURATION_MS)
             self.timers.after(at_ms, self._cut_connection)
-        self.timers.advance(_LENGTH_MS * 2)
+        self.timers.advance(_DURATION_MS * 2)
 
-    def note_arrival(self, culprit):
-        """Count an arrival of a culprit, if all could know by now."""
-        third_ms = self._third_ms.get(culprit)
+    def record_arrival(self, culprit):
+        """Count an arrival of a culprit that should have been quarantined."""
+        third_crash_ms = self._third_crash_ms.get(culprit)
         now_ms = self.timers.clock.now_ms()
-        if third_ms is not None and now_ms > third_ms + _CONTACT_MS:
+        if (
+            third_crash_ms is not None
+            and now_ms > third_crash_ms + _PROPAGATION_MS
+        ):
             self.late[culprit] += 1
 
-    def end_server(self, server, culprit=None):
-        """End a server; it is back after a while."""
+    def crash_server(self, server, culprit=None):
+        """Crash a server and restart it after a delay."""
         if culprit is not None:
             self.ends[culprit] += 1
             if self.ends[culprit] == 3:
-                self._third_ms[culprit] = self.timers.clock.now_ms()
+                self._third_crash_ms[culprit] = self.timers.clock.now_ms()
             self.cut += len(server.runs) - 1
-        server.end()
-        self.timers.after(_BACK_MS, partial(self._start, server))
+        server.crash()
+        self.timers.after(_RESTART_MS, partial(self._start, server))
 
     def _start(self, server):
         server.is_up = True
 
-    def _lose_power(self, count):
-        up = [one for one in self.port.by_id.values() if one.is_up]
-        for server in self.random.sample(up, min(count, len(up))):
-            self.end_server(server)
+    def _fail_power(self, count):
+        running = [one for one in self.port.by_id.values() if one.is_up]
+        for server in self.random.sample(running, min(count, len(running))):
+            self.crash_server(server)
 
     def _cut_connection(self):
         runs = [run for one in self.port.by_id.values() for run in one.runs]
@@ -214,57 +234,57 @@
             exc = BackendError('closed', sent=True, cut=True)
             run.listener.on_failed(exc)
 
-    def _ask(self, fingerprint, tries=2):
-        """Ask any instance, and another one after a failure."""
+    def _submit(self, fingerprint, tries=2):
+        """Submit a request to a random instance, and retry it on failure."""
         now_ms = self.timers.clock.now_ms()
         job = make_job(
             fingerprint=fingerprint,
             arrived_ms=now_ms,
             deadline_ms=now_ms + 10_000,
             repeat=Repeat.AGAIN,
-            max_attempts=_MOST_ATTEMPTS,
+            max_attempts=_MAX_ATTEMPTS,
             size=None,
         )
         self.others += fingerprint not in _CULPRITS and tries == 2
-        sink = _Sink(partial(self._take_end, fingerprint, tries))
+        sink = _RefusalSink(partial(self._handle_refusal, fingerprint, tries))
         self.random.choice(self._desks).submit(job, sink)
 
-    def _take_end(self, fingerprint, tries, refusal):
-        is_held = refusal.code == 'crashes_servers'
-        if is_held and fingerprint not in _CULPRITS:
+    def _handle_refusal(self, fingerprint, tries, refusal):
+        is_quarantined = refusal.code == 'crashes_servers'
+        if is_quarantined and fingerprint not in _CULPRITS:
             self.refused += 1
         if tries > 1 and refusal.outcome != Outcome.UNKNOWN:
-            again = partial(self._ask, fingerprint, tries - 1)
-            self.timers.after(6, again)
+            retry = partial(self._submit, fingerprint, tries - 1)
+            self.timers.after(6, retry)
 
     def _make_desk(self, blame):
-        make_ledger = _Forgetful if blame == _NOBODY else CrashLedger
+        make_ledger = _EmptyLedger if blame == _WITHOUT_LEDGER else CrashLedger
         ledger = make_ledger(self.timers.clock.now_ms, blame=blames[blame])
         self._ledgers.append(ledger)
-        ledger.subscribe(partial(self._tell_all, ledger))
+        ledger.subscribe(partial(self._broadcast, ledger))
         parts = make_parts(self.timers, lambda: list(self.backends))
         parts.random = self.random
         hints = ReturnHints(self.random)
         return make_plain_desk(self.port, parts, hints, ledger)
 
-    def _tell_all(self, teller):
-        for other in self._ledgers:
-            if other is not teller:
+    def _broadcast(self, sender):
+        for receiver in self._ledgers:
+            if receiver is not sender:
                 self.timers.after(
-                    _WAY_MS,
-                    partial(_tell, teller, other),
+                    _PEER_DELAY_MS,
+                    partial(_send_news, sender, receiver),
                 )
 
 
-class _Forgetful(CrashLedger):
-    """Remembers nothing: no request is a suspect, whatever ended."""
+class _EmptyLedger(CrashLedger):
+    """A ledger that records no crashes."""
 
     def note_crash(self, server, at_ms, requests, begun_ms=None):
         """See CrashLedger."""
 
 
-class _Sink(FakeSink):
-    """Hands a refusal on."""
+class _RefusalSink(FakeSink):
+    """Passes refusals to a callback."""
 
     def __init__(self, on_end):
         super().__init__()
@@ -276,12 +296,12 @@
         self._on_end(refusal)
 
 
-def _tell(teller, other):
-    other.take(teller.tell())
+def _send_news(sender, receiver):
+    receiver.take(sender.tell())
 
 
 def main():
-    """Print a row for each way and seed."""
+    """Print a table row for each attribution function."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--seeds', type=int, default=5)
     seeds = parser.parse_args().seeds
@@ -290,11 +310,11 @@
         worlds = [World(blame, seed) for seed in range(seeds)]
         for world in worlds:
             world.play()
-        ends = sum(sum(one.ends.values()) for one in worlds) / seeds
+        crashes = sum(sum(one.ends.values()) for one in worlds) / seeds
         late = max(max(one.late.values()) for one in worlds)
         cut = sum(one.cut for one in worlds) / seeds
         refused = sum(one.refused for one in worlds)
-        print(f'{blame:20} {ends:5.1f} {late:5} {cut:5.1f}', refused)
+        print(f'{blame:20} {crashes:5.1f} {late:5} {cut:5.1f}', refused)
 
 
 if __name__ == '__main__':
