--- a/bench/demo.py
+++ b/bench/demo.py
@@ -1,8 +1,8 @@
-"""`make demo`: the whole path on loopback, as separate processes.
+"""`make demo`: a complete cluster on loopback, as separate processes.
 
-Three data centres, six entry instances, six engines and a plain service.
-Prompts of several lengths, one over a single engine's memory, and bookings
-are sent, with one line for each.
+Starts six entry instances in three data centres, six engines and one service.
+Sends bookings and prompts of several lengths, one of them too long for the
+memory of a single engine, and prints a line for each.
 """
 
 import sys
@@ -22,7 +22,7 @@
 _MAX_TOKENS = 24
 _DEADLINE_MS = 45_000
 _BOOKINGS = 6
-#: Account, class, and prompt length in tokens.
+#: Client account, request class, and prompt length in tokens.
 _PROMPTS = (
     ('north-terminal', 'fares', 1_000),
     ('south-terminal', 'fares', 1_500),
@@ -35,49 +35,60 @@
 )
 
 
-class Tally:
-    """What was asked and what came of it."""
+class ResultCounts:
+    """Counts of requests by result.
+
+    Attributes:
+      sent: The number of requests sent.
+      complete: The number that got a complete answer.
+      failed: The number of the others.
+      booking_keys: The request keys of the bookings, a list.
+    """
 
     def __init__(self):
-        """Create an empty tally."""
-        self.asked = 0
-        self.whole = 0
-        self.lost = 0
-        self.keys = []
+        """Create counts of zero."""
+        self.sent = 0
+        self.complete = 0
+        self.failed = 0
+        self.booking_keys = []
+
+    def record(self, *, is_complete):
+        """Count a request.
 
-    def note(self, *, is_whole):
-        """Count one request."""
-        self.asked += 1
-        self.whole += is_whole
-        self.lost += not is_whole
+        Args:
+          is_complete: Whether it got a complete answer, a bool.
+        """
+        self.sent += 1
+        self.complete += is_complete
+        self.failed += not is_complete
 
 
 def run_demo(log_dir):
     """Run the demonstration.
 
     Args:
-      log_dir: A folder for the processes' output.
+      log_dir: The directory of the log files.
     Returns:
-      The exit code.
+      The exit code, 1 if a request failed or a booking was run twice.
     """
     started = time.monotonic()
     with Cluster(Shape(), log_dir) as cluster:
-        waited = time.monotonic() - started
-        print(f'18 processes serve after {waited:.1f} s')
-        tally = Tally()
+        startup_s = time.monotonic() - started
+        print(f'18 processes serve after {startup_s:.1f} s')
+        counts = ResultCounts()
         for account, workload, tokens in _PROMPTS:
-            _send_prompt(cluster, tally, account, workload, tokens)
+            _send_prompt(cluster, counts, account, workload, tokens)
         for seat in range(_BOOKINGS):
-            _send_booking(cluster, tally, seat)
-        twice = _count_twice(cluster, tally.keys)
+            _send_booking(cluster, counts, seat)
+        duplicates = _count_duplicates(cluster, counts.booking_keys)
     print(
-        f'demo: {tally.asked} asked, {tally.whole} answered whole, '
-        f'{tally.lost} lost, {twice} run twice',
+        f'demo: {counts.sent} asked, {counts.complete} answered whole, '
+        f'{counts.failed} lost, {duplicates} run twice',
     )
-    return 1 if tally.lost or twice else 0
+    return 1 if counts.failed or duplicates else 0
 
 
-def _send_prompt(cluster, tally, account, workload, tokens):
+def _send_prompt(cluster, counts, account, workload, tokens):
     prompt = make_prompt(tokens, seed=tokens)
     options = CallOptions(
         workload,
@@ -85,32 +96,32 @@
         model=_MODEL,
         max_tokens=_MAX_TOKENS,
     )
-    end = Session(cluster.seeds, account).complete(prompt, options)
-    wanted = expected_answer(_MODEL, prompt.encode(), _MAX_TOKENS)
-    is_whole = end.is_ok and end.text == wanted
-    tally.note(is_whole=is_whole)
-    verdict = 'whole' if is_whole else f'{end.outcome.value} {end.code}'
-    first_ms = end.first_token_ms or 0
+    reply = Session(cluster.seeds, account).complete(prompt, options)
+    expected = expected_answer(_MODEL, prompt.encode(), _MAX_TOKENS)
+    is_complete = reply.is_ok and reply.text == expected
+    counts.record(is_complete=is_complete)
+    status = 'whole' if is_complete else f'{reply.outcome.value} {reply.code}'
+    first_ms = reply.first_token_ms or 0
     print(
         f'{workload:12} {tokens:>9,} tokens  first token {first_ms:8.0f} ms'
-        f'  {end.tokens} tokens in {end.total_ms:8.0f} ms  {verdict}',
+        f'  {reply.tokens} tokens in {reply.total_ms:8.0f} ms  {status}',
     )
 
 
-def _send_booking(cluster, tally, seat):
+def _send_booking(cluster, counts, seat):
     body = orjson.dumps({'seat': seat})
     request = ServiceRequest('booking', 'POST', '/bookings', body)
     options = CallOptions('booking', _DEADLINE_MS)
-    end = Session(cluster.seeds, 'travel-web').call_service(request, options)
-    tally.note(is_whole=end.is_ok)
-    tally.keys.append(end.key)
-    verdict = 'done' if end.is_ok else f'{end.outcome.value} {end.code}'
+    reply = Session(cluster.seeds, 'travel-web').call_service(request, options)
+    counts.record(is_complete=reply.is_ok)
+    counts.booking_keys.append(reply.key)
+    status = 'done' if reply.is_ok else f'{reply.outcome.value} {reply.code}'
     print(
-        f'booking      seat {seat}  answer in {end.total_ms:8.0f} ms  {verdict}'
+        f'booking      seat {seat}  answer in {reply.total_ms:8.0f} ms  {status}'
     )
 
 
-def _count_twice(cluster, keys):
+def _count_duplicates(cluster, keys):
     counts = [
         service.fetch('GET', '/admin/counts')[1] for service in cluster.services
     ]
