--- a/bench/fake_network.py
+++ b/bench/fake_network.py
@@ -1,4 +1,4 @@
-"""A network of membership nodes in one process, without sockets."""
+"""An in-process network of membership nodes, without sockets."""
 
 import random
 
@@ -10,17 +10,19 @@
 
 
 class FakeNetwork:
-    """Membership nodes that call one another directly.
+    """Membership nodes that call each other directly.
 
     Attributes:
-      nodes: A map from id to Membership.
-      dead: Ids that answer nothing.
-      cut: Two sets of ids that cannot reach each other, or None.
-      messages, payload: How many messages and bytes were sent.
+      nodes: A dict from node id to Membership.
+      dead: The ids of nodes that do not respond, a set.
+      cut: The two sides of a network partition, sets of ids, or None.
+      now_ms: The current time.
+      messages: The number of messages sent.
+      payload: The number of bytes sent.
     """
 
     def __init__(self):
-        """Create without nodes."""
+        """Create a network without nodes."""
         self.nodes = {}
         self.dead = set()
         self.cut = None
@@ -29,25 +31,25 @@
         self.payload = 0
 
     def exchange(self, sender, receiver):
-        """Send a probe and its answer; return whether it came back."""
+        """Send a probe and its reply; return whether the reply arrived."""
         updates = self.nodes[sender].collect_updates()
         self._count(updates)
-        if receiver in self.dead or self._is_cut(sender, receiver):
+        if receiver in self.dead or self._is_partitioned(sender, receiver):
             return False
         self.nodes[receiver].merge(updates)
-        answers = self.nodes[receiver].collect_updates()
-        self._count(answers)
-        self.nodes[sender].merge(answers)
+        replies = self.nodes[receiver].collect_updates()
+        self._count(replies)
+        self.nodes[sender].merge(replies)
         return True
 
     def run_round(self):
-        """Let every node that lives run a round."""
+        """Advance the time by a round and run it on every live node."""
         self.now_ms += _ROUND_MS
         for name, node in self.nodes.items():
             if name not in self.dead:
                 node.run_round()
 
-    def _is_cut(self, sender, receiver):
+    def _is_partitioned(self, sender, receiver):
         if self.cut is None:
             return False
         return not any({sender, receiver} <= side for side in self.cut)
@@ -57,15 +59,15 @@
         self.payload += sum(write_member(one).ByteSize() for one in updates)
 
 
-class FakePorts(MembershipPorts):
-    """The ports of one node of a FakeNetwork."""
+class FakeMembershipPorts(MembershipPorts):
+    """The membership ports of a node of a FakeNetwork."""
 
     def __init__(self, network, name):
         """Create the ports.
 
         Args:
           network: The FakeNetwork.
-          name: The node's id.
+          name: The node id.
         """
         self._network = network
         self._name = name
@@ -81,26 +83,28 @@
 
     def probe_through(self, helper, member, on_done):
         """See MembershipPorts."""
-        reached = self._network.exchange(self._name, helper.identity)
-        if reached:
-            reached = self._network.exchange(helper.identity, member.identity)
-        on_done(reached)
+        is_reached = self._network.exchange(self._name, helper.identity)
+        if is_reached:
+            is_reached = self._network.exchange(
+                helper.identity, member.identity
+            )
+        on_done(is_reached)
 
 
 def build_network(size):
-    """Return a FakeNetwork whose nodes all know one another."""
+    """Return a FakeNetwork of a given size whose nodes all know each other."""
     network = FakeNetwork()
     members = [make_member(index) for index in range(size)]
-    for own in members:
-        ports = FakePorts(network, own.identity)
-        node = Membership(own, ports)
+    for member in members:
+        ports = FakeMembershipPorts(network, member.identity)
+        node = Membership(member, ports)
         node.seed(members)
-        network.nodes[own.identity] = node
+        network.nodes[member.identity] = node
     return network
 
 
 def make_member(index):
-    """Return the Member of a number, in one of nine data centres."""
+    """Return the Member with a given index, in one of nine data centres."""
     return Member(
         f'entry-{index:04}',
         f'boot-{index:016}',
