--- a/bench/faults.py
+++ b/bench/faults.py
@@ -1,4 +1,7 @@
-"""`make faults`: storms on real processes, with a line for each promise."""
+"""`make faults`: runs the fault-injection scenarios on real processes.
+
+Prints one line for each scenario, and the violations that it found.
+"""
 
 import argparse
 import sys
@@ -10,16 +13,16 @@
 from bench.scenarios.base import Verdict, scenarios, shape_of
 
 
-#: Importing these modules fills the registry.
+#: The modules that register scenarios when they are imported.
 MODULES = (ending, once, changes)
 
 
 def run_scenario(name, rounds):
-    """Run one scenario on a cluster of its own.
+    """Run a scenario on a new cluster.
 
     Args:
       name: The scenario's name.
-      rounds: How often or how long it runs, an int.
+      rounds: The number of repetitions, or a factor on the duration, an int.
     Returns:
       A Verdict.
     """
@@ -28,42 +31,42 @@
             try:
                 return scenarios[name](cluster, rounds)
             except TimeoutError as exc:
-                return Verdict([f'what must come did not: {exc}'], 'stopped')
+                return Verdict([f'timed out: {exc}'], 'stopped')
 
 
 def report(name, rounds):
-    """Run one scenario and print what it found.
+    """Run a scenario and print its result.
 
     Args:
       name: The scenario's name.
       rounds: See run_scenario.
     Returns:
-      True if the promise held.
+      True if no violation was found.
     """
     started = time.monotonic()
     verdict = run_scenario(name, rounds)
     elapsed = time.monotonic() - started
-    faults = verdict.broken + verdict.late
-    word = 'broken' if faults else 'held'
-    print(f'{word:7} {name}: {verdict.figure} ({elapsed:.0f} s)', flush=True)
-    for sentence in sorted(set(faults)):
-        print(f'        {sentence}', flush=True)
-    return not faults
+    violations = verdict.broken + verdict.late
+    status = 'broken' if violations else 'held'
+    print(f'{status:7} {name}: {verdict.figure} ({elapsed:.0f} s)', flush=True)
+    for violation in sorted(set(violations)):
+        print(f'        {violation}', flush=True)
+    return not violations
 
 
 def main():
-    """Run the scenarios that are named, or all of them."""
+    """Run the scenarios that match the arguments, or all of them."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--rounds', type=int, default=2)
     parser.add_argument('names', nargs='*', help='parts of scenario names')
-    flags = parser.parse_args()
+    args = parser.parse_args()
     chosen = [
         name
         for name in scenarios
-        if not flags.names or any(part in name for part in flags.names)
+        if not args.names or any(part in name for part in args.names)
     ]
-    held = [report(name, flags.rounds) for name in chosen]
-    return 0 if all(held) else 1
+    passed = [report(name, args.rounds) for name in chosen]
+    return 0 if all(passed) else 1
 
 
 if __name__ == '__main__':
