--- a/bench/idle_cost.py
+++ b/bench/idle_cost.py
@@ -1,9 +1,9 @@
-"""What an instance without requests costs, by the size of its fleet.
+"""Benchmark of the CPU time of an idle instance, by the size of its fleet.
 
-Runs one instance on the platform in a process of its own.  This process plays
-the store and all other instances, each with its own gRPC server over loopback,
-which answer as members of a fleet at rest and probe the instance as often as
-such a fleet would.  Prints processor milliseconds and messages a second:
+Runs one instance in a separate process.  This process simulates the store and
+all other instances, each with a gRPC server on loopback: they respond like the
+members of an idle fleet and probe the instance as often as such a fleet does.
+Prints CPU milliseconds and messages per second:
 
     python -m bench.idle_cost [--sizes 30,195,780] [--seconds 10]
 """
@@ -30,12 +30,12 @@
 from crankchute.proto import peer_pb2, peer_pb2_grpc
 from crankchute.standins.ports import LOOPBACK, pick_ports
 
-_START_S = 2
-_SETTLE_S = 8
-_STRONG = 2000
-_USUAL = 500
-_RUMOURS = 12
-_AGE_MS = 500
+_STARTUP_S = 2
+_WARMUP_S = 8
+_ACTIVE_STRENGTH = 2000
+_DEFAULT_STRENGTH = 500
+_GOSSIPED_MEMBERS = 12
+_DATA_AGE_MS = 500
 _MS_PER_SECOND = 1000
 _SETTINGS = """
 node-name = "measured"
@@ -55,86 +55,90 @@
 """
 
 
-class Fleet:
-    """The other members, as one of them tells of them.
+class FakeFleet:
+    """The other members of the measured instance's fleet.
 
     Attributes:
-      members: The Members.
-      active: Those that are active.
-      asked: How many messages the measured instance sent.
+      members: The Members, a list.
+      active: The active ones.
+      messages_received: The number of messages from the measured instance.
     """
 
     def __init__(self, size):
         """Create a fleet.
 
         Args:
-          size: How many instances it has, the measured one included.
+          size: The number of instances, including the measured one.
         """
         ports = pick_ports(size - 1)
-        strong = count_active(size)
+        active_count = count_active(size)
         self.members = [
             Member(
-                f'entry-{number}',
+                f'entry-{index}',
                 'boot',
                 1,
                 peer_address=f'{LOOPBACK}:{port}',
                 http_address=f'{LOOPBACK}:1',
-                data_centre=f'z{number % 5}',
-                strength=_STRONG if number < strong else _USUAL,
+                data_centre=f'z{index % 5}',
+                strength=_ACTIVE_STRENGTH
+                if index < active_count
+                else _DEFAULT_STRENGTH,
             )
-            for number, port in enumerate(ports)
+            for index, port in enumerate(ports)
         ]
         ranking = Ranking(self.members)
-        self.active = ranking.choose(strong, lambda _one: True)
-        self.asked = 0
+        self.active = ranking.choose(active_count, lambda _one: True)
+        self.messages_received = 0
 
     def gossip(self, member):
-        """Return what a member says with every message."""
-        others = random.sample(self.members, min(_RUMOURS, len(self.members)))
+        """Return the gossip that a member attaches to each message."""
+        sample = random.sample(
+            self.members, min(_GOSSIPED_MEMBERS, len(self.members))
+        )
         return peer_pb2.Gossip(
-            members=[write_member(one) for one in (member, *others)],
+            members=[write_member(one) for one in (member, *sample)],
         )
 
 
 class PeerStandin(peer_pb2_grpc.PeerServicer):
-    """One member of the fleet."""
+    """The gRPC service of a member of the fleet."""
 
     def __init__(self, fleet, member):
-        """Create the member.
+        """Create the service.
 
         Args:
-          fleet: The Fleet.
+          fleet: The FakeFleet.
           member: Its Member.
         """
         self._fleet = fleet
         self._member = member
 
     def Probe(self, request, context):  # noqa: N802  (named by the protocol)
-        """Answer a probe."""
-        self._fleet.asked += 1
+        """Reply to a probe."""
+        self._fleet.messages_received += 1
         gossip = self._fleet.gossip(self._member)
         return peer_pb2.ProbeReply(gossip=gossip, reached=True)
 
     def Share(self, request, context):  # noqa: N802  (named by the protocol)
-        """Answer as an active instance does."""
-        self._fleet.asked += 1
+        """Reply like an active instance."""
+        self._fleet.messages_received += 1
         active = self._fleet.active
         digest = digest_members(active)
-        told = () if request.digest == digest else active
+        members = () if request.digest == digest else active
         return peer_pb2.Briefing(
             instance=self._member.identity,
             boot='boot',
             is_serving=True,
             version=1,
-            proof_age_ms=_AGE_MS,
+            proof_age_ms=_DATA_AGE_MS,
             digest=digest,
-            active=[write_member(one) for one in told],
+            active=[write_member(one) for one in members],
             servers_revision=REVISION,
-            servers_age_ms=_AGE_MS,
+            servers_age_ms=_DATA_AGE_MS,
         )
 
 
-def _serve_fleet(fleet):
+def _start_peers(fleet):
     servers = []
     for member in fleet.members:
         server = grpc.server(ThreadPoolExecutor(max_workers=1))
@@ -175,8 +179,8 @@
     return process, ports[2]
 
 
-def _probe_like_a_fleet(fleet, address, seconds):
-    """Probe the instance once a second, as a fleet of any size does."""
+def _send_probes(fleet, address, seconds):
+    """Probe the instance once per second, the rate in fleets of any size."""
     for _ in range(seconds):
         member = random.choice(fleet.members)
         channel = grpc.insecure_channel(address)
@@ -193,26 +197,29 @@
 
 
 class _Sample:
-    """What the instance had used and sent at a moment."""
+    """The CPU time and sent messages of the instance at a point in time."""
 
-    __slots__ = ('asked', 'cpu_ms', 'taken_s')
+    __slots__ = ('cpu_ms', 'messages_received', 'taken_s')
 
     def __init__(self, fleet, pid):
         self.cpu_ms = _read_cpu_ms(pid)
-        self.asked = fleet.asked
+        self.messages_received = fleet.messages_received
         self.taken_s = time.monotonic()
 
     def rates_since(self, earlier):
-        """Return processor milliseconds and messages a second."""
-        spent_s = self.taken_s - earlier.taken_s
+        """Return CPU milliseconds and messages per second."""
+        elapsed_s = self.taken_s - earlier.taken_s
         cpu_ms = self.cpu_ms - earlier.cpu_ms
-        return cpu_ms / spent_s, (self.asked - earlier.asked) / spent_s
+        return (
+            cpu_ms / elapsed_s,
+            (self.messages_received - earlier.messages_received) / elapsed_s,
+        )
 
 
 @contextmanager
-def _running(fleet):
-    """Run the stand-ins and the instance; gives its process and address."""
-    servers = _serve_fleet(fleet)
+def _run_instance(fleet):
+    """Run the stand-ins and the instance; yield its process and address."""
+    servers = _start_peers(fleet)
     store = ThreadingHTTPServer((LOOPBACK, 0), StoreStandin)
     Thread(target=store.serve_forever, daemon=True).start()
     with ExitStack() as stack:
@@ -227,34 +234,34 @@
 
 
 def measure_size(size, seconds):
-    """Return what an instance at rest costs.
+    """Measure an idle instance.
 
     Args:
-      size: How many instances the fleet has.
-      seconds: For how long it is measured.
+      size: The number of instances in the fleet.
+      seconds: The duration of the measurement.
     Returns:
-      Processor milliseconds a second, and messages sent a second.
+      A tuple of CPU milliseconds and messages sent, both per second.
     """
-    fleet = Fleet(size)
-    with _running(fleet) as (process, address):
-        time.sleep(_START_S)
-        _probe_like_a_fleet(fleet, address, _SETTLE_S)
+    fleet = FakeFleet(size)
+    with _run_instance(fleet) as (process, address):
+        time.sleep(_STARTUP_S)
+        _send_probes(fleet, address, _WARMUP_S)
         before = _Sample(fleet, process.pid)
-        _probe_like_a_fleet(fleet, address, seconds)
+        _send_probes(fleet, address, seconds)
         return _Sample(fleet, process.pid).rates_since(before)
 
 
 def main():
-    """Print a row for each size."""
+    """Print a table row for each fleet size."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--sizes', default='30,195,780')
     parser.add_argument('--seconds', type=int, default=10)
-    flags = parser.parse_args()
+    args = parser.parse_args()
     print('| instances | processor ms a second | messages a second |')
     print('|---|---|---|')
-    for size in map(int, flags.sizes.split(',')):
-        cost, sent = measure_size(size, flags.seconds)
-        print(f'| {size} | {cost:.1f} | {sent:.1f} |')
+    for size in map(int, args.sizes.split(',')):
+        cpu_ms, messages = measure_size(size, args.seconds)
+        print(f'| {size} | {cpu_ms:.1f} | {messages:.1f} |')
 
 
 if __name__ == '__main__':
