--- a/bench/known_red.py
+++ b/bench/known_red.py
@@ -1,7 +1,7 @@
-"""Runs the tests, and passes over just those that KNOWN-RED.txt lists.
+"""Runs the tests, ignoring failures of those listed in KNOWN-RED.txt.
 
-Each line of that file is `test id | cause | issue`; three at most.  A listed
-test that passes is an error too, so that the list cannot grow old.
+Each line of that file is `test id | cause | issue`, with at most three lines.
+A listed test that passes counts as an error, so that the list stays current.
 """
 
 import subprocess  # noqa: S404
@@ -9,12 +9,12 @@
 from pathlib import Path
 
 _LIST_PATH = Path(__file__).resolve().parent.parent / 'KNOWN-RED.txt'
-_MOST = 3
-_TOO_MANY = 3
+_MAX_LISTED = 3
+_EXIT_LIST_TOO_LONG = 3
 
 
-def read_list():
-    """Return the lines of the list, without empty ones."""
+def read_known_failures():
+    """Return the non-empty lines of the list."""
     if not _LIST_PATH.exists():
         return []
     lines = _LIST_PATH.read_text(encoding='utf-8').splitlines()
@@ -25,24 +25,24 @@
     """Run the tests.
 
     Args:
-      command: The words of the test command.
+      command: The test command, a list of arguments.
     Returns:
       The exit code.
     """
-    known = read_list()
-    if len(known) > _MOST:
-        print(f'KNOWN-RED.txt lists more than {_MOST} tests')
-        return _TOO_MANY
-    tests = [line.split('|')[0].strip() for line in known]
+    known_failures = read_known_failures()
+    if len(known_failures) > _MAX_LISTED:
+        print(f'KNOWN-RED.txt lists more than {_MAX_LISTED} tests')
+        return _EXIT_LIST_TOO_LONG
+    tests = [line.split('|')[0].strip() for line in known_failures]
     deselected = [f'--deselect={test}' for test in tests]
-    code = subprocess.call([*command, *deselected])  # noqa: S603
-    for line in known:
+    exit_code = subprocess.call([*command, *deselected])  # noqa: S603
+    for line in known_failures:
         print(f'known red: {line}')
     for test in tests:
         if not subprocess.call([*command, test]):  # noqa: S603
-            print(f'{test} passes; take it off the list')
-            code = 1
-    return code
+            print(f'{test} passes; remove it from KNOWN-RED.txt')
+            exit_code = 1
+    return exit_code
 
 
 if __name__ == '__main__':
