--- a/bench/limit_ways.py
+++ b/bench/limit_ways.py
@@ -1,11 +1,12 @@
-"""Ways to share a server's limit: `python -m bench.limit_ways`.
-
-Instances send requests to a pool of servers in virtual time.  For a while servers
-name how many requests a second they take from all instances together, in each
-answer.  A few instances are active, and most callers come to them; they tell each
-other at once what they hear, the others half a second later.  Meanwhile one is cut
-off from the others, which go on, and two are replaced.  A run is the same on every
-machine.
+"""Simulation of rate limits of servers: `python -m bench.limit_ways`.
+
+Compares policies for dividing the limits among instances.  Instances send
+requests to a pool of servers in virtual time.  For some time, the servers
+advertise in each response how many requests per second they accept from all
+instances together.  Most clients use the few active instances, which pass
+limits on to each other and to some of the others.  In the cases with failures,
+one active instance is isolated for a while and two are replaced.  Results
+depend on the seed only.
 """
 
 import argparse
@@ -23,44 +24,50 @@
 from crankchute.core.turn_lending import TurnBorrower, lend_turn
 from crankchute.ports.forwarding import AnswerHead, ForwardPort
 
-#: How instances share a limit, by name: functions of an Instance, called when it
-#: starts.
+#: Policies for dividing limits, by name.  Each is a function that configures an
+#: Instance when it starts.
 ways = Registry()
-#: The name of the one that the product takes.
+#: The name of the policy in use; the others are baselines for comparison.
 BY_LENDING = 'holders, and turns are lent'
 
 _SERVERS = 18
 _SLOTS = 8
-_RUN_MS = (100, 1500)
-_EACH_MS = 25
-#: Answers begin so soon, and news of active instances arrive.
-_WAY_MS = 3
-_PACE_MS = 250
+_SERVICE_TIME_MS = (100, 1500)
+_REQUEST_INTERVAL_MS = 25
+#: The latency of responses and of messages between instances.
+_NETWORK_DELAY_MS = 3
+_BROADCAST_INTERVAL_MS = 250
 _HOME_MS = 500
-#: Active instances notice so late that one is cut off.
-_SILENT_MS = 750
-_ACTIVE_PART = 0.9
-_BEGIN_MS = 10_000
-_END_MS = 40_000
-_LENGTH_MS = 60_000
-_CUT_MS = (18_000, 28_000)
-_REPLACED_MS = (22_000, 34_000)
-#: When all could have heard of a limit (the users' rule).
-_CONTACT_MS = 3000
-_FACTOR = 1.5
-_SLACK = 5
+#: The time until instances detect that another one is isolated.
+_FAILURE_DETECTION_MS = 750
+#: The fraction of requests that are sent to active instances only.
+_ACTIVE_REQUEST_SHARE = 0.9
+#: The period in which servers advertise limits.
+_LIMIT_START_MS = 10_000
+_LIMIT_END_MS = 40_000
+_DURATION_MS = 60_000
+#: The period in which an active instance is isolated, and the times at which
+#: active instances are replaced.
+_PARTITION_MS = (18_000, 28_000)
+_REPLACEMENT_TIMES_MS = (22_000, 34_000)
+#: The time that instances have to learn of a limit, agreed with the users.
+_PROPAGATION_MS = 3000
+#: The tolerated number of requests per window is the limit times this factor,
+#: plus a constant.
+_TOLERANCE_FACTOR = 1.5
+_TOLERANCE_REQUESTS = 5
 _MS_PER_SECOND = 1000
 
 
 class Case:
-    """What servers name.
+    """A fleet and the limits that servers advertise.
 
     Attributes:
-      instances: How many instances.
-      active: How many of them callers are sent to.
-      servers: How many servers name a limit, the first of the pool.
-      limit: Requests a second.
-      is_quiet: Whether no instance is cut off or replaced.
+      instances: The number of instances.
+      active: The number of active instances, which clients are sent to.
+      servers: The number of servers with a limit, the first of the pool.
+      limit: The limit in requests per second.
+      is_quiet: Whether no instance is isolated or replaced, a bool.
     """
 
     __slots__ = ('active', 'instances', 'is_quiet', 'limit', 'servers')
@@ -84,11 +91,15 @@
 )
 
 
-class WholeShares:
-    """The whole limit, or the same part of it at every instance."""
+class FixedShares:
+    """A fixed fraction of each limit, the same at every instance."""
 
     def __init__(self, part):
-        """Create the shares."""
+        """Create the shares.
+
+        Args:
+          part: The fraction of each limit that an instance may use.
+        """
         self._part = part
 
     def part_of(self, _server, _limit):
@@ -96,11 +107,11 @@
         return self._part
 
 
-class ToldTurns:
-    """Sends while what all were heard to send stays within the limit."""
+class ReportedUsagePermits:
+    """Permits by the number of requests that all instances reported."""
 
     def __init__(self, world, instance):
-        """Create the turns of an Instance."""
+        """Create the permits of an Instance."""
         self._world = world
         self._instance = instance
         self._sent = {}
@@ -116,15 +127,15 @@
         return len(recent) < max(limit * WINDOW_MS / _MS_PER_SECOND, 1)
 
     def note_sent(self, server):
-        """See LimitTurns; the other active ones hear of it."""
-        self.hear(server)
-        for one in self._world.reached_by(self._instance):
+        """See LimitTurns; also reports the request to reachable instances."""
+        self.record_sent(server)
+        for one in self._world.list_reachable(self._instance):
             if one is not self._instance:
-                hear = partial(one.turns.hear, server)
-                self._world.timers.after(_WAY_MS, hear)
+                record_sent = partial(one.turns.record_sent, server)
+                self._world.timers.after(_NETWORK_DELAY_MS, record_sent)
 
-    def hear(self, server):
-        """Take that something was sent."""
+    def record_sent(self, server):
+        """Record a request that this or another instance sent."""
         self._sent.setdefault(server, []).append(self._world.now_ms())
 
     def wait_ms(self, server):
@@ -134,70 +145,76 @@
 
 @ways.register('ignored')
 def ignore_limits(instance):
-    """Hear of no limit; a baseline."""
-    instance.hears = False
+    """Ignore limits; a baseline."""
+    instance.uses_limits = False
 
 
 @ways.register('each for itself')
-def keep_alone(instance):
-    """Let each instance send what the server takes of all."""
-    instance.limits.turns._shares = WholeShares(1)  # noqa: SLF001
+def use_whole_limit(instance):
+    """Let each instance use the whole limit."""
+    instance.limits.turns._shares = FixedShares(1)  # noqa: SLF001
 
 
 @ways.register('even over all')
 def divide_evenly(instance):
-    """Give every instance the same part, asked or not."""
+    """Give each instance an equal share, even if it gets no requests."""
     part = 1 / instance.world.case.instances
-    instance.limits.turns._shares = WholeShares(part)  # noqa: SLF001
+    instance.limits.turns._shares = FixedShares(part)  # noqa: SLF001
 
 
 @ways.register('counted by what is told')
-def count_told(instance):
-    """Count what the others told that they sent."""
-    instance.turns = ToldTurns(instance.world, instance)
+def count_reported(instance):
+    """Count the requests that all instances report to each other."""
+    instance.turns = ReportedUsagePermits(instance.world, instance)
 
 
 @ways.register('holders by hash')
 def divide_by_hash(instance):
-    """Divide it among a few active ones; nothing is lent."""
-    instance.lends = False
+    """Divide limits among a few holders without lending permits."""
+    instance.lends_permits = False
 
 
 @ways.register(BY_LENDING)
-def divide_and_lend(_instance):
-    """What the product does."""
+def lend_permits(_instance):
+    """Divide limits among a few holders, which lend permits to the others."""
 
 
 class Instance(ForwardPort):
-    """One instance, as it reaches servers and other instances.
+    """A simulated instance, and its ports to servers and other instances.
 
     Attributes:
       world: The World.
-      name: Its id.
+      name: The instance id.
       limits: The LimitDesk.
-      turns: What decides whether it may send to a server with a limit.
-      hears: Whether it hears of limits, a bool.
-      lends: Whether turns are lent, a bool.
+      turns: The permits to send to servers with a limit.
+      uses_limits: Whether advertised limits are observed, a bool.
+      lends_permits: Whether permits are borrowed, a bool.
+      desk: The ForwardDesk that requests are submitted to.
     """
 
     def __init__(self, world, name):
-        """Start the instance."""
+        """Start the instance.
+
+        Args:
+          world: The World.
+          name: The instance id.
+        """
         self.world = world
         self.name = name
         self.limits = LimitDesk(world.timers, name, 'boot')
         self.turns = self.limits.turns
-        self.hears = True
-        self.lends = True
+        self.uses_limits = True
+        self.lends_permits = True
         self._backends = make_backends(_SERVERS)
         ways[world.way](self)
         self.limits.start(
             lambda: world.list_active(self),
-            lambda other: world.is_lost(self, other),
-            self._ask,
+            lambda other: world.is_unreachable(self, other),
+            self._send_probe,
         )
-        if self.hears:
-            self.limits.words.subscribe(self._tell_soon)
-            world.timers.every(_PACE_MS, self._tell)
+        if self.uses_limits:
+            self.limits.words.subscribe(self._schedule_broadcast)
+            world.timers.every(_BROADCAST_INTERVAL_MS, self._broadcast)
         self._borrower = TurnBorrower(
             world.timers.clock,
             world.random,
@@ -211,59 +228,65 @@
         server = placement.backend.identity
         sent_ms = self.world.now_ms()
         self.turns.note_sent(server)
-        self.world.note_arrival(server)
+        self.world.record_arrival(server)
         self.world.running[server] += 1
-        self.world.timers.after(_WAY_MS, partial(self._hear, server, sent_ms))
-        run_ms = self.world.random.uniform(*_RUN_MS)
+        self.world.timers.after(
+            _NETWORK_DELAY_MS, partial(self._record_limit, server, sent_ms)
+        )
+        run_ms = self.world.random.uniform(*_SERVICE_TIME_MS)
         finish = partial(self._finish, server, listener)
         self.world.timers.after(run_ms, finish)
         return SentCall()
 
     def borrow(self, servers, on_done):
         """See TurnLending."""
-        lenders = self._borrower.list_lenders(servers) if self.lends else []
+        lenders = (
+            self._borrower.list_lenders(servers) if self.lends_permits else []
+        )
         if lenders:
-            self._ask_lender(lenders, servers, on_done)
+            self._request_permit(lenders, servers, on_done)
         return bool(lenders)
 
     def give_back(self, server):
         """See TurnLending."""
         self.limits.turns.give_back(server)
 
-    def _ask_lender(self, lenders, servers, on_done):
+    def _request_permit(self, lenders, servers, on_done):
         lender, *others = lenders
-        found = self.world.find(self, lender)
+        lender_instance = self.world.find_reachable(self, lender)
 
-        def take():
+        def take_offer():
             offer = None
-            if found is not None:
-                words = found.limits.words
-                known = [one for one in servers if words.limit_of(one)]
-                offer = lend_turn(found.limits.turns, known)
+            if lender_instance is not None:
+                words = lender_instance.limits.words
+                limited = [one for one in servers if words.limit_of(one)]
+                offer = lend_turn(lender_instance.limits.turns, limited)
             server = self._borrower.take(lender, offer)
             if server is None and others:
-                self._ask_lender(others, servers, on_done)
+                self._request_permit(others, servers, on_done)
             else:
                 on_done(server)
 
-        self.world.timers.after(_WAY_MS * 2, take)
+        self.world.timers.after(_NETWORK_DELAY_MS * 2, take_offer)
 
-    def _ask(self, server):
+    def _send_probe(self, server):
         sent_ms = self.world.now_ms()
         self.turns.note_sent(server)
-        self.world.note_arrival(server)
-        self.world.timers.after(_WAY_MS, partial(self._hear, server, sent_ms))
+        self.world.record_arrival(server)
+        self.world.timers.after(
+            _NETWORK_DELAY_MS, partial(self._record_limit, server, sent_ms)
+        )
 
-    def _hear(self, server, sent_ms):
-        if self.hears:
+    def _record_limit(self, server, sent_ms):
+        if self.uses_limits:
             limit = self.world.limit_of(server)
             self.limits.words.take(server, limit, sent_ms)
 
-    def _tell_soon(self):
-        self.world.timers.after(_WAY_MS, self._tell)
+    def _schedule_broadcast(self):
+        self.world.timers.after(_NETWORK_DELAY_MS, self._broadcast)
 
-    def _tell(self):
-        for one in self.world.reached_by(self):
+    def _broadcast(self):
+        for one in self.world.list_reachable(self):
             one.limits.words.hear(self.limits.words.tell())
 
     def _finish(self, server, listener):
@@ -282,18 +305,30 @@
 
 
 class World:
-    """Instances, servers and callers.
+    """A simulation of instances, servers and clients.
 
     Attributes:
-      running: How many requests run at each server, a map.
-      refused: How many callers were refused while servers named limits.
-      with_room: How many of those while a server without a limit had room.
-      with_turn: How many of those while a server took more: over the window
-        before it got less than nine tenths of what it takes, and a request less.
+      way: The name of the policy for dividing limits.
+      case: The Case.
+      timers: The ManualTimers.
+      random: The random numbers of the run.
+      servers: The ids of the servers, a list.
+      running: A dict from server id to the number of requests in progress.
+      refused: The number of requests refused while limits were in force.
+      with_room: How many of these were refused although some servers had no
+        limit.
+      refused_below_limit: How many of these were refused although a server
+        was clearly below its limit in the preceding window.
     """
 
     def __init__(self, way, case, seed):
-        """Create the world."""
+        """Create the simulation.
+
+        Args:
+          way: The name of a policy for dividing limits.
+          case: A Case.
+          seed: The seed of the random numbers, an int.
+        """
         self.way = way
         self.case = case
         self.timers = ManualTimers()
@@ -302,173 +337,191 @@
         self.running = dict.fromkeys(self.servers, 0)
         self.refused = 0
         self.with_room = 0
-        self.with_turn = 0
+        self.refused_below_limit = 0
         self._arrivals = {server: [] for server in self.servers}
-        self._gone = set()
+        self._stopped = set()
         self._active = [f'entry-{one}' for one in range(case.active)]
         names = [f'entry-{one}' for one in range(case.instances)]
         self._instances = {name: Instance(self, name) for name in names}
 
     def play(self):
-        """Let callers come for a minute."""
-        for _ in range(_LENGTH_MS // _EACH_MS):
-            at_ms = self.random.uniform(0, _LENGTH_MS)
-            self.timers.after(at_ms, self._ask)
+        """Run the simulation to its end."""
+        for _ in range(_DURATION_MS // _REQUEST_INTERVAL_MS):
+            at_ms = self.random.uniform(0, _DURATION_MS)
+            self.timers.after(at_ms, self._submit)
         if not self.case.is_quiet:
-            for at_ms in _REPLACED_MS:
-                self.timers.after(at_ms, self._replace)
-        self.timers.advance(_LENGTH_MS)
+            for at_ms in _REPLACEMENT_TIMES_MS:
+                self.timers.after(at_ms, self._replace_active)
+        self.timers.advance(_DURATION_MS)
 
     def now_ms(self):
-        """Return the time."""
+        """Return the current time."""
         return self.timers.clock.now_ms()
 
     def limit_of(self, server):
-        """Return what a server names in its answers now, or None."""
-        is_named = _BEGIN_MS <= self.now_ms() < _END_MS
+        """Return the limit that a server advertises now, or None."""
+        is_in_force = _LIMIT_START_MS <= self.now_ms() < _LIMIT_END_MS
         is_limited = server in self.servers[: self.case.servers]
-        return self.case.limit if is_named and is_limited else None
+        return self.case.limit if is_in_force and is_limited else None
 
     def list_active(self, instance):
-        """Return who callers are sent to, as an instance sees it."""
-        if self._is_cut(instance.name, _SILENT_MS):
+        """Return the ids of active instances, in the view of an instance."""
+        if self._is_isolated(instance.name, _FAILURE_DETECTION_MS):
             return [instance.name]
         return [
-            one for one in self._active if not self._is_cut(one, _SILENT_MS)
+            one
+            for one in self._active
+            if not self._is_isolated(one, _FAILURE_DETECTION_MS)
         ]
 
-    def is_lost(self, instance, other):
-        """Tell whether another instance does not answer one."""
+    def is_unreachable(self, instance, other):
+        """Return whether an instance detected that another is unreachable."""
         if instance.name == other:
             return False
-        cut = (instance.name, other)
-        return any(self._is_cut(one, _SILENT_MS) for one in cut)
+        pair = (instance.name, other)
+        return any(
+            self._is_isolated(one, _FAILURE_DETECTION_MS) for one in pair
+        )
 
-    def reached_by(self, instance):
-        """Return the instances that hear from one, and its followers now."""
-        if self._is_cut(instance.name, 0):
+    def list_reachable(self, instance):
+        """Return the instances that get a broadcast of an instance."""
+        if self._is_isolated(instance.name, 0):
             return [instance]
         reached = [
             self._instances[one]
             for one in self._active
-            if not self._is_cut(one, 0)
+            if not self._is_isolated(one, 0)
         ]
         if instance.name in self._active:
             others = list(self._instances.values())
             reached.extend(self.random.sample(others, min(9, len(others))))
         return reached
 
-    def find(self, instance, name):
-        """Return another instance if one reaches it, or None."""
-        if self._is_cut(instance.name, 0) or self._is_cut(name, 0):
+    def find_reachable(self, instance, name):
+        """Return another instance by id, or None if it is unreachable."""
+        if self._is_isolated(instance.name, 0) or self._is_isolated(name, 0):
             return None
         return self._instances.get(name)
 
-    def note_arrival(self, server):
-        """Note that something reaches a server."""
+    def record_arrival(self, server):
+        """Record that a request arrives at a server."""
         self._arrivals[server].append(self.now_ms())
 
     def most_over(self):
-        """Return the most of any window, as a part of what is allowed."""
+        """Return the most requests in a window, relative to the tolerated."""
         case = self.case
-        since_ms = _BEGIN_MS + _CONTACT_MS
-        allowed = _FACTOR * case.limit * WINDOW_MS / _MS_PER_SECOND + _SLACK
-        most = 0
+        since_ms = _LIMIT_START_MS + _PROPAGATION_MS
+        allowed = (
+            _TOLERANCE_FACTOR * case.limit * WINDOW_MS / _MS_PER_SECOND
+            + _TOLERANCE_REQUESTS
+        )
+        max_count = 0
         for server in self.servers[: case.servers]:
-            moments = [
+            arrivals_ms = [
                 one
                 for one in self._arrivals[server]
-                if since_ms <= one < _END_MS
+                if since_ms <= one < _LIMIT_END_MS
             ]
-            for begin in moments:
-                inside = [
-                    one for one in moments if 0 <= one - begin < WINDOW_MS
+            for start_ms in arrivals_ms:
+                window_arrivals = [
+                    one
+                    for one in arrivals_ms
+                    if 0 <= one - start_ms < WINDOW_MS
                 ]
-                most = max(most, len(inside))
-        return most / allowed
+                max_count = max(max_count, len(window_arrivals))
+        return max_count / allowed
 
     def used(self):
-        """Return which part of what servers take reached them."""
-        since_ms = _BEGIN_MS + _CONTACT_MS
+        """Return the fraction of the limits that was used."""
+        since_ms = _LIMIT_START_MS + _PROPAGATION_MS
         arrived = sum(
-            since_ms <= one < _END_MS
+            since_ms <= one < _LIMIT_END_MS
             for server in self.servers[: self.case.servers]
             for one in self._arrivals[server]
         )
-        length_s = (_END_MS - since_ms) / _MS_PER_SECOND
+        length_s = (_LIMIT_END_MS - since_ms) / _MS_PER_SECOND
         return arrived / (self.case.limit * self.case.servers * length_s)
 
-    def free_again_ms(self):
-        """Return when half of the servers were in use again, after the end."""
-        begun = sorted(
-            self._begin_of_use(self._arrivals[one])
+    def measure_recovery_ms(self):
+        """Return the median time from the end of limits to normal use."""
+        resumed_ms = sorted(
+            self._find_resumption_ms(self._arrivals[one])
             for one in self.servers[: self.case.servers]
         )
-        return begun[len(begun) // 2] - _END_MS
+        return resumed_ms[len(resumed_ms) // 2] - _LIMIT_END_MS
 
-    def _begin_of_use(self, moments):
-        """Return when a server got three requests within a second again."""
-        later = [one for one in moments if one >= _END_MS]
+    def _find_resumption_ms(self, arrivals_ms):
+        """Return when a server first got three requests within a second."""
+        later = [one for one in arrivals_ms if one >= _LIMIT_END_MS]
         return next(
             (
                 first
-                for place, first in enumerate(later)
-                if later[place + 2 : place + 3]
-                and later[place + 2] - first < _MS_PER_SECOND
+                for index, first in enumerate(later)
+                if later[index + 2 : index + 3]
+                and later[index + 2] - first < _MS_PER_SECOND
             ),
-            _LENGTH_MS,
+            _DURATION_MS,
         )
 
-    def _is_cut(self, name, notice_ms):
-        """Tell whether an instance is cut off, noticed so late."""
-        begin_ms, end_ms = _CUT_MS
-        is_cut = begin_ms + notice_ms <= self.now_ms() < end_ms
-        is_cut = is_cut and not self.case.is_quiet
-        return (is_cut and name == 'entry-0') or name in self._gone
-
-    def _replace(self):
-        """Start an instance in the place of an active one."""
-        gone = self._active.pop(1)
-        self._gone.add(gone)
-        name = f'{gone}-again'
+    def _is_isolated(self, name, notice_ms):
+        """Return whether an instance is isolated or was stopped.
+
+        Args:
+          name: The instance id.
+          notice_ms: The delay after which its isolation is detected.
+        """
+        begin_ms, end_ms = _PARTITION_MS
+        is_isolated = begin_ms + notice_ms <= self.now_ms() < end_ms
+        is_isolated = is_isolated and not self.case.is_quiet
+        return (is_isolated and name == 'entry-0') or name in self._stopped
+
+    def _replace_active(self):
+        """Stop an active instance and start another one in its place."""
+        stopped = self._active.pop(1)
+        self._stopped.add(stopped)
+        name = f'{stopped}-again'
         self._active.append(name)
         self._instances[name] = Instance(self, name)
-        self._instances.pop(gone)
+        self._instances.pop(stopped)
 
-    def _ask(self):
+    def _submit(self):
         names = list(self._instances)
-        if self.random.random() < _ACTIVE_PART:
+        if self.random.random() < _ACTIVE_REQUEST_SHARE:
             names = self._active
         job = make_job(
             arrived_ms=self.now_ms(),
-            deadline_ms=self.now_ms() + _LENGTH_MS,
-            goal_ms=_LENGTH_MS,
+            deadline_ms=self.now_ms() + _DURATION_MS,
+            goal_ms=_DURATION_MS,
             repeat=Repeat.AGAIN,
             size=None,
         )
         instance = self._instances[self.random.choice(names)]
-        instance.desk.submit(job, EndSink(self._take_end))
+        instance.desk.submit(job, EndSink(self._record_refusal))
 
-    def _take_end(self, refusal):
-        is_limited = _BEGIN_MS + _CONTACT_MS <= self.now_ms() < _END_MS
+    def _record_refusal(self, refusal):
+        is_limited = (
+            _LIMIT_START_MS + _PROPAGATION_MS <= self.now_ms() < _LIMIT_END_MS
+        )
         if refusal is None or not is_limited:
             return
         self.refused += 1
         self.with_room += self.case.servers < _SERVERS
-        self.with_turn += any(map(self._takes_more, self.servers))
+        self.refused_below_limit += any(map(self._is_below_limit, self.servers))
 
-    def _takes_more(self, server):
+    def _is_below_limit(self, server):
         since_ms = self.now_ms() - WINDOW_MS
-        lately = sum(one > since_ms for one in self._arrivals[server])
-        taken = self.case.limit * WINDOW_MS / _MS_PER_SECOND
-        return lately < taken * 0.9 - 1
+        recent_count = sum(one > since_ms for one in self._arrivals[server])
+        window_limit = self.case.limit * WINDOW_MS / _MS_PER_SECOND
+        return recent_count < window_limit * 0.9 - 1
 
 
 def main():
-    """Print a row for each case and way: the most of the seeds, and means."""
+    """Print a table for each case: the worst of the seeds, and means."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--seeds', type=int, default=5)
-    parser.add_argument('--case', type=int, help='the number of one case')
+    parser.add_argument(
+        '--case', type=int, help='index of the only case to run'
+    )
     args = parser.parse_args()
     cases = CASES if args.case is None else [CASES[args.case]]
     for case in cases:
@@ -486,17 +539,17 @@
 
 
 def _describe(worlds):
-    """Return what happened in worlds of one way, as a line."""
+    """Return a table row for the simulations of a policy."""
     count = len(worlds)
     worst = max(one.most_over() for one in worlds)
     used = sum(one.used() for one in worlds) / count
     refused = sum(one.refused for one in worlds) / count
     with_room = sum(one.with_room for one in worlds) / count
-    with_turn = sum(one.with_turn for one in worlds) / count
-    again_ms = sum(one.free_again_ms() for one in worlds) / count
+    below_limit = sum(one.refused_below_limit for one in worlds) / count
+    recovery_ms = sum(one.measure_recovery_ms() for one in worlds) / count
     return (
         f'{worst:5.2f} {used:6.2f} {refused:8.1f} {with_room:10.1f}'
-        f' {with_turn:10.1f} {again_ms:9.0f}'
+        f' {below_limit:10.1f} {recovery_ms:9.0f}'
     )
 
 
