--- a/bench/local_fleet.py
+++ b/bench/local_fleet.py
@@ -1,4 +1,4 @@
-"""Engine stand-ins and dispatchers in one process and in virtual time."""
+"""Simulation of engines and dispatchers in one process, in virtual time."""
 
 import random
 from functools import partial
@@ -22,38 +22,38 @@
 
 _NETWORK_MS = 1
 _BUSY_RETRY_MS = 100
-_CENTRES = 3
+_DATA_CENTRES = 3
 
 
-class Running:
-    """An order that a model works on, which can be given up."""
+class RunningWork:
+    """A handle to cancel work in progress on a model."""
 
     __slots__ = ('_key', '_model')
 
     def __init__(self, model, key):
-        """Create the record.
+        """Create the handle.
 
         Args:
           model: The EngineModel.
-          key: The work's key.
+          key: The key of the Work.
         """
         self._model = model
         self._key = key
 
     def cancel(self):
-        """Give the order up."""
+        """Cancel the work."""
         self._model.cancel(self._key)
 
 
 class LocalEngines(EnginePort):
-    """Calls engine models directly, with the delay of a network."""
+    """An engine port that calls engine models after a network delay."""
 
     def __init__(self, timers, models):
         """Create the port.
 
         Args:
           timers: A ManualTimers.
-          models: A map from engine id to EngineModel.
+          models: A dict from engine id to EngineModel.
         """
         self._timers = timers
         self._models = models
@@ -62,9 +62,9 @@
         """See EnginePort."""
         model = self._models[backend.identity]
         key = (order.request_id, order.attempt)
-        begin = partial(self._begin, model, key, order, listener)
-        self._timers.after(_NETWORK_MS, begin)
-        return Running(model, key)
+        start = partial(self._start, model, key, order, listener)
+        self._timers.after(_NETWORK_MS, start)
+        return RunningWork(model, key)
 
     def hold(self, backend, order, on_done):
         """See EnginePort."""
@@ -93,17 +93,17 @@
             on_done=lambda done: on_done(export if done else None),
         )
         model.submit(work)
-        return Running(model, key)
+        return RunningWork(model, key)
 
-    def _begin(self, model, key, order, listener):
+    def _start(self, model, key, order, listener):
         tokens = model.count_tokens(order.prompt)
-        need = 0 if order.group else tokens + order.max_tokens
-        if not model.accepts(need):
+        memory_tokens = 0 if order.group else tokens + order.max_tokens
+        if not model.accepts(memory_tokens):
             listener.on_refused('no_memory', _BUSY_RETRY_MS)
             return
         head = (order.request_id, order.attempt, 'boot')
 
-        def send(offset, token):
+        def send_token(offset, token):
             frame = Frame(*head, offset=offset, tokens=[token])
             listener.on_frame(frame)
 
@@ -116,13 +116,13 @@
             key,
             priority=order.priority,
             left=tokens,
-            need=need,
+            need=memory_tokens,
             crc=0,
             blocks=hash_blocks(order.prompt, b'small'),
             max_tokens=order.max_tokens,
             offset=order.offset,
             deadline_ms=self._timers.clock.now_ms() + order.deadline_ms,
-            on_token=send,
+            on_token=send_token,
             on_done=finish,
         )
         model.submit(work)
@@ -133,21 +133,21 @@
 
     Attributes:
       timers: The ManualTimers.
-      sinks: The RecordingSinks of all requests.
+      sinks: The RecordingSinks of all submitted requests, a list.
     """
 
     def __init__(self, engines, instances, routing, lag_ms):
-        """Create a fleet at rest.
+        """Create an idle fleet.
 
         Args:
-          engines: How many engines.
-          instances: How many dispatchers, which know nothing of one another.
+          engines: The number of engines.
+          instances: The number of dispatchers, which share no state.
           routing: The name of a routing policy.
-          lag_ms: How old a load report is, and how often one comes.
+          lag_ms: The delay of load reports and the interval between them.
         """
         self.timers = ManualTimers()
         self.sinks = []
-        self._lost = set()
+        self._failed = set()
         self._models = {
             f'engine-{index}': EngineModel(self.timers, EngineSettings())
             for index in range(engines)
@@ -155,23 +155,23 @@
         self._dispatchers = [
             self._make_dispatcher(index, routing) for index in range(instances)
         ]
-        self._report(self._snapshot())
+        self._deliver_reports(self._collect_reports())
         self._lag_ms = lag_ms
-        self.timers.every(lag_ms, self._sample)
+        self.timers.every(lag_ms, self._schedule_report)
 
     @property
     def rate(self):
-        """Prompt tokens in a millisecond that the fleet works off."""
+        """The prefill rate of all engines, in tokens per millisecond."""
         models = self._models.values()
         return sum(model.settings.prefill_rate for model in models)
 
     def submit(self, number, arrival, prompt):
-        """Submit a request at the instance whose turn it is.
+        """Submit a request to the instances in round-robin order.
 
         Args:
-          number: The request's number.
+          number: The number of the request.
           arrival: An Arrival.
-          prompt: A string.
+          prompt: The prompt, a string.
         """
         now_ms = self.timers.clock.now_ms()
         job = make_job(
@@ -184,18 +184,22 @@
         )
         sink = RecordingSink(job, self.timers.clock)
         self.sinks.append(sink)
-        turn = number % len(self._dispatchers)
-        self._dispatchers[turn].submit(job, sink)
+        index = number % len(self._dispatchers)
+        self._dispatchers[index].submit(job, sink)
 
     def lose(self, count):
-        """Take engines away: nothing is answered or reported by them."""
-        self._lost.update(sorted(self._models)[:count])
+        """Stop the load reports of some engines, as if they had failed.
+
+        Args:
+          count: The number of engines.
+        """
+        self._failed.update(sorted(self._models)[:count])
 
     def _make_dispatcher(self, index, routing):
         fleet = Fleet()
         fleet.replace(
             [
-                make_listed(name, data_centre=f'dc-{number % _CENTRES}')
+                make_listed(name, data_centre=f'dc-{number % _DATA_CENTRES}')
                 for number, name in enumerate(self._models)
             ]
         )
@@ -206,8 +210,8 @@
             metrics=Metrics(),
         )
         limits = AccountLimits(self.timers.clock)
-        centre = f'dc-{index % _CENTRES}'
-        dispatcher = Dispatcher(ports, fleet, limits, centre)
+        data_centre = f'dc-{index % _DATA_CENTRES}'
+        dispatcher = Dispatcher(ports, fleet, limits, data_centre)
         documents = make_documents(
             accounts=[
                 {'name': 'acc', 'width': 1, 'max_in_progress': 1_000_000}
@@ -217,10 +221,13 @@
         dispatcher.config = load_config(1, documents)
         return dispatcher
 
-    def _sample(self):
-        self.timers.after(self._lag_ms, partial(self._report, self._snapshot()))
+    def _schedule_report(self):
+        self.timers.after(
+            self._lag_ms,
+            partial(self._deliver_reports, self._collect_reports()),
+        )
 
-    def _snapshot(self):
+    def _collect_reports(self):
         return {
             name: {
                 'boot': 'boot',
@@ -235,21 +242,21 @@
                 'events': list(model.memory.events),
             }
             for name, model in self._models.items()
-            if name not in self._lost
+            if name not in self._failed
         }
 
-    def _report(self, snapshot):
+    def _deliver_reports(self, reports):
         now_ms = self.timers.clock.now_ms()
         for dispatcher in self._dispatchers:
-            for name, document in snapshot.items():
+            for name, document in reports.items():
                 backend = dispatcher.fleet.get(name)
                 report = LoadReport(now_ms, document)
                 dispatcher.fleet.note_load(backend, report)
-                _note_events(backend.prefix, document['events'], now_ms)
+                _update_prefix_index(backend.prefix, document['events'], now_ms)
             dispatcher.pump()
 
 
-def _note_events(prefix, events, now_ms):
+def _update_prefix_index(prefix, events, now_ms):
     for event in events:
         prefix.note_event(event.sequence, event.stored, event.evicted, now_ms)
     prefix.note_fresh(now_ms)
