--- a/bench/choice_cost.py
+++ b/bench/choice_cost.py
@@ -61,10 +61,14 @@
 
 def main():
     """Print a row for each number of engines."""
-    print('| engines |', ' | '.join(f'{one:,}' for one in _PROMPT_TOKENS), '|')
+    print(
+        '| engines |',
+        ' | '.join(f'{tokens:,}' for tokens in _PROMPT_TOKENS),
+        '|',
+    )
     print('|---' * (len(_PROMPT_TOKENS) + 1), end='|\n')
     for engines in _ENGINE_COUNTS:
-        costs = [measure_choice(engines, one) for one in _PROMPT_TOKENS]
+        costs = [measure_choice(engines, tokens) for tokens in _PROMPT_TOKENS]
         print('|', engines, *(f'| {cost:.2f}' for cost in costs), '|')
 
 
