--- a/bench/cluster.py
+++ b/bench/cluster.py
@@ -253,14 +253,14 @@
                 raise RuntimeError(f'{proc.name} exited')
         state = self.state(entry)
         alive_members = [
-            one
-            for one in state['members']
-            if one['status'] == 'alive' and not one['draining']
+            member
+            for member in state['members']
+            if member['status'] == 'alive' and not member['draining']
         ]
         known_backends = [
-            one
-            for one in state['backends']
-            if one['models'] or one['kind'] == 'service'
+            backend
+            for backend in state['backends']
+            if backend['models'] or backend['kind'] == 'service'
         ]
         polled = min(self.shape.engines, _MAX_POLLED_ENGINES)
         expected_backends = polled + self.shape.services
