--- a/bench/crash_ways.py
+++ b/bench/crash_ways.py
@@ -103,7 +103,7 @@
     def __init__(self, world):
         """Create a server for each backend of a simulation."""
         self._world = world
-        self.by_id = {one.identity: Server() for one in world.backends}
+        self.by_id = {backend.identity: Server() for backend in world.backends}
 
     def send(self, job, placement, attempt, listener):
         """See ForwardPort."""
@@ -195,7 +195,7 @@
             self.timers.after(at_ms, partial(self._fail_power, count))
         for _ in range(100):
             at_ms = self.random.uniform(0, _DURATION_MS)
-            self.timers.after(at_ms, self._cut_connection)
+            self.timers.after(at_ms, self._break_connection)
         self.timers.advance(_DURATION_MS * 2)
 
     def record_arrival(self, culprit):
@@ -222,19 +222,23 @@
         server.is_up = True
 
     def _fail_power(self, count):
-        running = [one for one in self.port.by_id.values() if one.is_up]
+        running = [
+            server for server in self.port.by_id.values() if server.is_up
+        ]
         for server in self.random.sample(running, min(count, len(running))):
             self.crash_server(server)
 
-    def _cut_connection(self):
-        runs = [run for one in self.port.by_id.values() for run in one.runs]
+    def _break_connection(self):
+        runs = [
+            run for server in self.port.by_id.values() for run in server.runs
+        ]
         if runs:
             run = self.random.choice(runs)
             run.cancel()
             exc = BackendError('closed', sent=True, cut=True)
             run.listener.on_failed(exc)
 
-    def _submit(self, fingerprint, tries=2):
+    def _submit(self, fingerprint, attempts_left=2):
         """Submit a request to a random instance, and retry it on failure."""
         now_ms = self.timers.clock.now_ms()
         job = make_job(
@@ -245,16 +249,18 @@
             max_attempts=_MAX_ATTEMPTS,
             size=None,
         )
-        self.others += fingerprint not in _CULPRITS and tries == 2
-        sink = _RefusalSink(partial(self._handle_refusal, fingerprint, tries))
+        self.others += fingerprint not in _CULPRITS and attempts_left == 2
+        sink = _RefusalSink(
+            partial(self._handle_refusal, fingerprint, attempts_left)
+        )
         self.random.choice(self._desks).submit(job, sink)
 
-    def _handle_refusal(self, fingerprint, tries, refusal):
+    def _handle_refusal(self, fingerprint, attempts_left, refusal):
         is_quarantined = refusal.code == 'crashes_servers'
         if is_quarantined and fingerprint not in _CULPRITS:
             self.refused += 1
-        if tries > 1 and refusal.outcome != Outcome.UNKNOWN:
-            retry = partial(self._submit, fingerprint, tries - 1)
+        if attempts_left > 1 and refusal.outcome != Outcome.UNKNOWN:
+            retry = partial(self._submit, fingerprint, attempts_left - 1)
             self.timers.after(6, retry)
 
     def _make_desk(self, blame):
@@ -272,7 +278,7 @@
             if receiver is not sender:
                 self.timers.after(
                     _PEER_DELAY_MS,
-                    partial(_send_news, sender, receiver),
+                    partial(_send_ledger, sender, receiver),
                 )
 
 
@@ -286,17 +292,17 @@
 class _RefusalSink(FakeSink):
     """Passes refusals to a callback."""
 
-    def __init__(self, on_end):
+    def __init__(self, on_refusal):
         super().__init__()
-        self._on_end = on_end
+        self._on_refusal = on_refusal
 
     def on_refused(self, refusal):
         """See AnswerSink."""
         super().on_refused(refusal)
-        self._on_end(refusal)
+        self._on_refusal(refusal)
 
 
-def _send_news(sender, receiver):
+def _send_ledger(sender, receiver):
     receiver.take(sender.tell())
 
 
@@ -310,10 +316,12 @@
         worlds = [World(blame, seed) for seed in range(seeds)]
         for world in worlds:
             world.play()
-        crashes = sum(sum(one.ends.values()) for one in worlds) / seeds
-        late = max(max(one.late.values()) for one in worlds)
-        cut = sum(one.cut for one in worlds) / seeds
-        refused = sum(one.refused for one in worlds)
+        crashes = (
+            sum(sum(simulation.ends.values()) for simulation in worlds) / seeds
+        )
+        late = max(max(simulation.late.values()) for simulation in worlds)
+        cut = sum(simulation.cut for simulation in worlds) / seeds
+        refused = sum(simulation.refused for simulation in worlds)
         print(f'{blame:20} {crashes:5.1f} {late:5} {cut:5.1f}', refused)
 
 
