--- a/bench/fake_network.py
+++ b/bench/fake_network.py
@@ -56,7 +56,9 @@
 
     def _count(self, updates):
         self.messages += 1
-        self.payload += sum(write_member(one).ByteSize() for one in updates)
+        self.payload += sum(
+            write_member(update).ByteSize() for update in updates
+        )
 
 
 class FakeMembershipPorts(MembershipPorts):
