--- a/bench/faults.py
+++ b/bench/faults.py
@@ -22,7 +22,7 @@
 
     Args:
       name: The scenario's name.
-      rounds: The number of repetitions, or a factor on the duration, an int.
+      rounds: Scales the load or the number of repetitions, an int.
     Returns:
       A Verdict.
     """
