--- a/bench/idle_cost.py
+++ b/bench/idle_cost.py
@@ -96,7 +96,7 @@
             self.members, min(_GOSSIPED_MEMBERS, len(self.members))
         )
         return peer_pb2.Gossip(
-            members=[write_member(one) for one in (member, *sample)],
+            members=[write_member(gossiped) for gossiped in (member, *sample)],
         )
 
 
@@ -132,7 +132,7 @@
             version=1,
             proof_age_ms=_DATA_AGE_MS,
             digest=digest,
-            active=[write_member(one) for one in members],
+            active=[write_member(active_member) for active_member in members],
             servers_revision=REVISION,
             servers_age_ms=_DATA_AGE_MS,
         )
