--- a/bench/limit_ways.py
+++ b/bench/limit_ways.py
@@ -122,16 +122,20 @@
         if limit is None:
             return True
         since_ms = self._world.now_ms() - WINDOW_MS
-        recent = [one for one in self._sent.get(server, ()) if one > since_ms]
+        recent = [
+            sent_ms
+            for sent_ms in self._sent.get(server, ())
+            if sent_ms > since_ms
+        ]
         self._sent[server] = recent
         return len(recent) < max(limit * WINDOW_MS / _MS_PER_SECOND, 1)
 
     def note_sent(self, server):
         """See LimitTurns; also reports the request to reachable instances."""
         self.record_sent(server)
-        for one in self._world.list_reachable(self._instance):
-            if one is not self._instance:
-                record_sent = partial(one.turns.record_sent, server)
+        for instance in self._world.list_reachable(self._instance):
+            if instance is not self._instance:
+                record_sent = partial(instance.turns.record_sent, server)
                 self._world.timers.after(_NETWORK_DELAY_MS, record_sent)
 
     def record_sent(self, server):
@@ -259,7 +263,9 @@
             offer = None
             if lender_instance is not None:
                 words = lender_instance.limits.words
-                limited = [one for one in servers if words.limit_of(one)]
+                limited = [
+                    server for server in servers if words.limit_of(server)
+                ]
                 offer = lend_turn(lender_instance.limits.turns, limited)
             server = self._borrower.take(lender, offer)
             if server is None and others:
@@ -286,8 +292,8 @@
         self.world.timers.after(_NETWORK_DELAY_MS, self._broadcast)
 
     def _broadcast(self):
-        for one in self.world.list_reachable(self):
-            one.limits.words.hear(self.limits.words.tell())
+        for instance in self.world.list_reachable(self):
+            instance.limits.words.hear(self.limits.words.tell())
 
     def _finish(self, server, listener):
         self.world.running[server] -= 1
@@ -333,15 +339,15 @@
         self.case = case
         self.timers = ManualTimers()
         self.random = random.Random(seed)
-        self.servers = [one.identity for one in make_backends(_SERVERS)]
+        self.servers = [backend.identity for backend in make_backends(_SERVERS)]
         self.running = dict.fromkeys(self.servers, 0)
         self.refused = 0
         self.with_room = 0
         self.refused_below_limit = 0
         self._arrivals = {server: [] for server in self.servers}
         self._stopped = set()
-        self._active = [f'entry-{one}' for one in range(case.active)]
-        names = [f'entry-{one}' for one in range(case.instances)]
+        self._active = [f'entry-{index}' for index in range(case.active)]
+        names = [f'entry-{index}' for index in range(case.instances)]
         self._instances = {name: Instance(self, name) for name in names}
 
     def play(self):
@@ -369,9 +375,9 @@
         if self._is_isolated(instance.name, _FAILURE_DETECTION_MS):
             return [instance.name]
         return [
-            one
-            for one in self._active
-            if not self._is_isolated(one, _FAILURE_DETECTION_MS)
+            name
+            for name in self._active
+            if not self._is_isolated(name, _FAILURE_DETECTION_MS)
         ]
 
     def is_unreachable(self, instance, other):
@@ -380,7 +386,7 @@
             return False
         pair = (instance.name, other)
         return any(
-            self._is_isolated(one, _FAILURE_DETECTION_MS) for one in pair
+            self._is_isolated(name, _FAILURE_DETECTION_MS) for name in pair
         )
 
     def list_reachable(self, instance):
@@ -388,9 +394,9 @@
         if self._is_isolated(instance.name, 0):
             return [instance]
         reached = [
-            self._instances[one]
-            for one in self._active
-            if not self._is_isolated(one, 0)
+            self._instances[name]
+            for name in self._active
+            if not self._is_isolated(name, 0)
         ]
         if instance.name in self._active:
             others = list(self._instances.values())
@@ -418,15 +424,15 @@
         max_count = 0
         for server in self.servers[: case.servers]:
             arrivals_ms = [
-                one
-                for one in self._arrivals[server]
-                if since_ms <= one < _LIMIT_END_MS
+                at_ms
+                for at_ms in self._arrivals[server]
+                if since_ms <= at_ms < _LIMIT_END_MS
             ]
             for start_ms in arrivals_ms:
                 window_arrivals = [
-                    one
-                    for one in arrivals_ms
-                    if 0 <= one - start_ms < WINDOW_MS
+                    at_ms
+                    for at_ms in arrivals_ms
+                    if 0 <= at_ms - start_ms < WINDOW_MS
                 ]
                 max_count = max(max_count, len(window_arrivals))
         return max_count / allowed
@@ -435,9 +441,9 @@
         """Return the fraction of the limits that was used."""
         since_ms = _LIMIT_START_MS + _PROPAGATION_MS
         arrived = sum(
-            since_ms <= one < _LIMIT_END_MS
+            since_ms <= at_ms < _LIMIT_END_MS
             for server in self.servers[: self.case.servers]
-            for one in self._arrivals[server]
+            for at_ms in self._arrivals[server]
         )
         length_s = (_LIMIT_END_MS - since_ms) / _MS_PER_SECOND
         return arrived / (self.case.limit * self.case.servers * length_s)
@@ -445,14 +451,14 @@
     def measure_recovery_ms(self):
         """Return the median time from the end of limits to normal use."""
         resumed_ms = sorted(
-            self._find_resumption_ms(self._arrivals[one])
-            for one in self.servers[: self.case.servers]
+            self._find_resumption_ms(self._arrivals[server])
+            for server in self.servers[: self.case.servers]
         )
         return resumed_ms[len(resumed_ms) // 2] - _LIMIT_END_MS
 
     def _find_resumption_ms(self, arrivals_ms):
         """Return when a server first got three requests within a second."""
-        later = [one for one in arrivals_ms if one >= _LIMIT_END_MS]
+        later = [at_ms for at_ms in arrivals_ms if at_ms >= _LIMIT_END_MS]
         return next(
             (
                 first
@@ -470,8 +476,8 @@
           name: The instance id.
           notice_ms: The delay after which its isolation is detected.
         """
-        begin_ms, end_ms = _PARTITION_MS
-        is_isolated = begin_ms + notice_ms <= self.now_ms() < end_ms
+        start_ms, end_ms = _PARTITION_MS
+        is_isolated = start_ms + notice_ms <= self.now_ms() < end_ms
         is_isolated = is_isolated and not self.case.is_quiet
         return (is_isolated and name == 'entry-0') or name in self._stopped
 
@@ -510,7 +516,7 @@
 
     def _is_below_limit(self, server):
         since_ms = self.now_ms() - WINDOW_MS
-        recent_count = sum(one > since_ms for one in self._arrivals[server])
+        recent_count = sum(at_ms > since_ms for at_ms in self._arrivals[server])
         window_limit = self.case.limit * WINDOW_MS / _MS_PER_SECOND
         return recent_count < window_limit * 0.9 - 1
 
@@ -541,12 +547,12 @@
 def _describe(worlds):
     """Return a table row for the simulations of a policy."""
     count = len(worlds)
-    worst = max(one.most_over() for one in worlds)
-    used = sum(one.used() for one in worlds) / count
-    refused = sum(one.refused for one in worlds) / count
-    with_room = sum(one.with_room for one in worlds) / count
-    below_limit = sum(one.refused_below_limit for one in worlds) / count
-    recovery_ms = sum(one.measure_recovery_ms() for one in worlds) / count
+    worst = max(world.most_over() for world in worlds)
+    used = sum(world.used() for world in worlds) / count
+    refused = sum(world.refused for world in worlds) / count
+    with_room = sum(world.with_room for world in worlds) / count
+    below_limit = sum(world.refused_below_limit for world in worlds) / count
+    recovery_ms = sum(world.measure_recovery_ms() for world in worlds) / count
     return (
         f'{worst:5.2f} {used:6.2f} {refused:8.1f} {with_room:10.1f}'
         f' {below_limit:10.1f} {recovery_ms:9.0f}'
