--- a/bench/cluster.py
+++ b/bench/cluster.py
@@ -253,14 +253,14 @@
                 raise RuntimeError(f'{proc.name} exited')
         state = self.state(entry)
         alive_members = [
-            member
-            for member in state['members']
-            if member['status'] == 'alive' and not member['draining']
+            record
+            for record in state['members']
+            if record['status'] == 'alive' and not record['draining']
         ]
         known_backends = [
-            backend
-            for backend in state['backends']
-            if backend['models'] or backend['kind'] == 'service'
+            record
+            for record in state['backends']
+            if record['models'] or record['kind'] == 'service'
         ]
         polled = min(self.shape.engines, _MAX_POLLED_ENGINES)
         expected_backends = polled + self.shape.services
