--- a/bench/crash_ways.py
+++ b/bench/crash_ways.py
@@ -223,7 +223,9 @@
 
     def _fail_power(self, count):
         running = [
-            server for server in self.port.by_id.values() if server.is_up
+            candidate
+            for candidate in self.port.by_id.values()
+            if candidate.is_up
         ]
         for server in self.random.sample(running, min(count, len(running))):
             self.crash_server(server)
