--- a/bench/limit_ways.py
+++ b/bench/limit_ways.py
@@ -264,7 +264,7 @@
             if lender_instance is not None:
                 words = lender_instance.limits.words
                 limited = [
-                    server for server in servers if words.limit_of(server)
+                    wanted for wanted in servers if words.limit_of(wanted)
                 ]
                 offer = lend_turn(lender_instance.limits.turns, limited)
             server = self._borrower.take(lender, offer)
@@ -339,15 +339,15 @@
         self.case = case
         self.timers = ManualTimers()
         self.random = random.Random(seed)
-        self.servers = [backend.identity for backend in make_backends(_SERVERS)]
+        self.servers = [one.identity for one in make_backends(_SERVERS)]
         self.running = dict.fromkeys(self.servers, 0)
         self.refused = 0
         self.with_room = 0
         self.refused_below_limit = 0
         self._arrivals = {server: [] for server in self.servers}
         self._stopped = set()
-        self._active = [f'entry-{index}' for index in range(case.active)]
-        names = [f'entry-{index}' for index in range(case.instances)]
+        self._active = [f'entry-{one}' for one in range(case.active)]
+        names = [f'entry-{one}' for one in range(case.instances)]
         self._instances = {name: Instance(self, name) for name in names}
 
     def play(self):
