--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -64,7 +64,7 @@
         'engines are not told that the caller is gone',
         'memory returns',
         'crankchute/entry/caller_api.py',
-        'exchange.on_gone = lambda: self._give_up(request, flow)',
+        'exchange.on_gone = lambda: self._cancel_request(request, flow)',
         'exchange.on_gone = None',
     ),
     Mutation(
@@ -106,8 +106,8 @@
         'a stop does not wait for what is in progress',
         'planned stop',
         'crankchute/entry/node.py',
-        'if busy or self.http_server.open_exchanges:',
-        'if busy < 0:',
+        'if active_calls or self.http_server.open_exchanges:',
+        'if active_calls < 0:',
     ),
     Mutation(
         'a starting instance does not take what peers have',
@@ -176,8 +176,8 @@
         'late timers go before what arrived',
         'crankchute/adapters/timers_test.py',
         'crankchute/adapters/timers.py',
-        'if self._reads_first():',
-        'if self._reads_first() is None:',
+        'if self._must_read_first():',
+        'if self._must_read_first() is None:',
     ),
     Mutation(
         'a lost release of a hold is not sent again',
@@ -324,7 +324,7 @@
         'servers that left are back with an older copy',
         'crankchute/platform/store_era_test.py',
         'crankchute/platform/published.py',
-        'may_be_old=came_back',
+        'may_be_old=is_restored',
         'may_be_old=False',
     ),
     Mutation(
--- a/crankchute/adapters/early_requests_test.py
+++ b/crankchute/adapters/early_requests_test.py
@@ -1,4 +1,4 @@
-"""Tests of requests that come before the process is informed."""
+"""Tests of requests that arrive before the configuration is loaded."""
 
 import pytest
 
@@ -7,7 +7,7 @@
 
 
 class FakeExchange:
-    """A request of a caller who may leave."""
+    """A request whose caller may disconnect."""
 
     def __init__(self):
         self.on_gone = None
@@ -16,41 +16,41 @@
         function(self)
 
 
-class World:
-    """A waiting room and what was served."""
+class QueueHarness:
+    """A queue, its timers, and the requests that it served."""
 
     def __init__(self):
         self.timers = ManualTimers()
         self.served = []
-        self.early = EarlyRequests(self.timers, self.served.append, 60)
+        self.queue = EarlyRequests(self.timers, self.served.append, 60)
 
     def take(self):
         exchange = FakeExchange()
-        self.early.take(exchange)
+        self.queue.take(exchange)
         return exchange
 
 
 @pytest.mark.parametrize(
     ('steps', 'served'),
     [
-        (['take', 'inform'], 1),
-        (['take', 'take', 'inform', 'take'], 3),
+        (['take', 'load'], 1),
+        (['take', 'take', 'load', 'take'], 3),
         (['take', 'wait'], 1),
-        (['take', 'wait', 'inform'], 1),
-        (['take', 'leave', 'inform', 'wait'], 0),
+        (['take', 'wait', 'load'], 1),
+        (['take', 'disconnect', 'load', 'wait'], 0),
         (['take'], 0),
     ],
 )
-def test_requests_wait_for_a_short_time(steps, served):
-    world = World()
+def test_requests_wait_until_loaded_or_timed_out(steps, served):
+    harness = QueueHarness()
     latest = None
     for step in steps:
         if step == 'take':
-            latest = world.take()
-        elif step == 'inform':
-            world.early.record_informed()
-        elif step == 'leave':
+            latest = harness.take()
+        elif step == 'load':
+            harness.queue.record_informed()
+        elif step == 'disconnect':
             latest.on_gone()
         else:
-            world.timers.advance(100)
-    assert len(world.served) == served
+            harness.timers.advance(100)
+    assert len(harness.served) == served
--- a/crankchute/adapters/peer_records.py
+++ b/crankchute/adapters/peer_records.py
@@ -1,4 +1,4 @@
-"""Conversions between the core's objects and the messages between peers."""
+"""Conversion between core objects and the protobuf messages of peers."""
 
 from crankchute.adapters.crash_records import read_crashes, write_crashes
 from crankchute.core.advertised_limits import AdvertisedLimit
@@ -15,14 +15,14 @@
 from crankchute.proto import peer_pb2
 
 _MEMBER_FIELDS = Member.__slots__
-#: The limit sent for a server that names none any more.
+#: Sent in place of a limit for a server that no longer reports one.
 _NO_LIMIT = -1
-#: The age sent for what was never proved the newest.
-_NO_PROOF = -1
+#: Sent in place of an age for data that was never confirmed as current.
+_UNKNOWN_AGE = -1
 
 
 def write_member(member):
-    """Return the message of a Member."""
+    """Return the message for a Member."""
     fields = {name: getattr(member, name) for name in _MEMBER_FIELDS}
     fields['status'] = int(member.status)
     return peer_pb2.MemberRecord(**fields)
@@ -35,7 +35,7 @@
 
 
 def write_changes(changes):
-    """Return the message of a ChangeSet, or an empty one for None."""
+    """Return the message for a ChangeSet, or an empty one for None."""
     if changes is None:
         return peer_pb2.ChangeReply()
     entries = [
@@ -69,11 +69,11 @@
 
 
 def write_message(message, now_ms):
-    """Return the message of a PeerMessage.
+    """Return the message for a PeerMessage.
 
     Args:
       message: A PeerMessage.
-      now_ms: The time on this process's clock.
+      now_ms: The current time of this process's clock.
     """
     return peer_pb2.Briefing(
         instance=message.instance,
@@ -111,7 +111,7 @@
 
     Args:
       record: The message.
-      now_ms: The time on this process's clock.
+      now_ms: The current time of this process's clock.
     """
     return PeerMessage(
         instance=record.instance,
@@ -142,7 +142,7 @@
 
 
 def _write_age(age_ms):
-    return _NO_PROOF if age_ms is None else age_ms
+    return _UNKNOWN_AGE if age_ms is None else age_ms
 
 
 def _read_age(age_ms):
@@ -162,12 +162,12 @@
     return ServerHealth(record.server, signs)
 
 
-def _write_limit(word, now_ms):
+def _write_limit(limit_report, now_ms):
     return peer_pb2.LimitRecord(
-        server=word.server,
-        limit=_NO_LIMIT if word.limit is None else word.limit,
-        age_ms=now_ms - word.at_ms,
-        source=word.source,
+        server=limit_report.server,
+        limit=_NO_LIMIT if limit_report.limit is None else limit_report.limit,
+        age_ms=now_ms - limit_report.at_ms,
+        source=limit_report.source,
     )
 
 
@@ -181,10 +181,10 @@
 
 
 def _write_work_change(change, now_ms, *, is_snapshot):
-    """Return the message of a WorkChange.
+    """Return the message for a WorkChange.
 
-    What began or ended is known by its key to whoever was told that it was
-    sent, so only the sending, and a batch of all work, tell the rest.
+    The details are included only when work was sent and in a batch of all
+    work.  For work that started or ended, the receiver knows them by the key.
     """
     work = change.work
     if change.change != Change.SENT and not is_snapshot:
--- a/crankchute/commands/losses.py
+++ b/crankchute/commands/losses.py
@@ -1,4 +1,4 @@
-"""`crankchute losses`: what was lost by which cause, from logs."""
+"""`crankchute losses`: count lost requests by cause, from logs."""
 
 import sys
 
@@ -10,20 +10,20 @@
 
 
 def add_parser(subparsers):
-    """Add the command's parser."""
+    """Add the parser of this command."""
     parser = subparsers.add_parser(
         'losses',
-        help='split what was late, refused or failed by cause',
+        help='count late, refused and failed requests by cause',
     )
-    parser.add_argument('files', nargs='+', help='logs of instances')
+    parser.add_argument('files', nargs='+', help='log files of instances')
     parser.set_defaults(run=run)
 
 
 def run(flags, _environ):
-    """Run the command; see main."""
+    """Run the command and return its exit code."""
     traces = gather_traces(read_logs(flags.files))
     if not traces:
-        sys.stderr.write('no request is in these logs\n')
+        sys.stderr.write('the logs contain no requests\n')
         return 1
     for text in (*render_losses(traces), '', *render_predictions(traces)):
         sys.stdout.write(f'{text}\n')
@@ -31,15 +31,16 @@
 
 
 def render_losses(traces):
-    """Return the table of losses as lines for people.
+    """Format a table of lost requests by cause.
 
     Args:
-      traces: A list of RequestTrace.
+      traces: A list of request traces.
+    Returns:
+      A list of lines.
     """
     tokens = sum(trace.tokens for trace in traces)
     rows = [
-        f'{summary.count:6} {summary.count_after_start:11}'
-        f' {summary.tokens / tokens:8.2%}'
+        f'{summary.count:6} {summary.count_after_start:11} {summary.tokens / tokens:8.2%}'
         f'  {summary.cause}'
         for summary in summarize_losses(traces)
     ]
@@ -48,19 +49,27 @@
 
 
 def render_predictions(traces):
-    """Return how first events compare with predictions, lines for people.
+    """Format a table of observed over predicted times to first event.
 
     Args:
-      traces: A list of RequestTrace.
+      traces: A list of request traces.
+    Returns:
+      A list of lines.
     """
-    heading = 'seen by predicted    count    p10    p50    p90'
-    found = compare_predictions(traces)
-    return [heading, *(_render_ratios(*one) for one in sorted(found.items()))]
+    heading = 'observed/predicted   count    p10    p50    p90'
+    ratios = compare_predictions(traces)
+    return [
+        heading,
+        *(_render_ratios(*group) for group in sorted(ratios.items())),
+    ]
 
 
-def _render_ratios(name, ratios):
-    band, is_after_start = name
+def _render_ratios(group, ratios):
+    band, is_after_start = group
     label = f'{band}, started' if is_after_start else band
-    last = len(ratios) - 1
-    shown = ' '.join(f'{ratios[round(last * at)]:6.2f}' for at in _QUANTILES)
-    return f'{label:20} {len(ratios):5} {shown}'
+    last_index = len(ratios) - 1
+    quantiles = ' '.join(
+        f'{ratios[round(last_index * quantile)]:6.2f}'
+        for quantile in _QUANTILES
+    )
+    return f'{label:20} {len(ratios):5} {quantiles}'
