--- a/crankchute/adapters/http_intake.py
+++ b/crankchute/adapters/http_intake.py
@@ -22,10 +22,10 @@
     """The limits on an incoming request."""
 
     __slots__ = (
-        'body_bytes',
         'body_rate',
         'header_timeout_ms',
         'max_body_bytes',
+        'max_header_bytes',
     )
 
     def __init__(
