--- a/bench/model_desk.py
+++ b/bench/model_desk.py
@@ -1,4 +1,4 @@
-"""What the models of ways to deal with servers have in common."""
+"""Shared parts of the virtual-time simulations of backend servers."""
 
 from crankchute.core.choosers import LEAST_BUSY, choosers
 from crankchute.core.crash_ledger import CrashLedger
@@ -11,22 +11,22 @@
 
 
 class SentCall:
-    """A request on its way; callers of the models wait for their answers."""
+    """A sent request; simulated callers never cancel."""
 
     sent = True
 
     def cancel(self):
-        """Give it up."""
+        """Do nothing."""
 
 
 class EndSink(FakeSink):
-    """Hands the end on: a refusal, or None after an answer."""
+    """Passes the outcome to a callback: a Refusal, or None after an answer."""
 
     def __init__(self, on_end):
         """Create the sink.
 
         Args:
-          on_end: A function of a Refusal or None.
+          on_end: A function called with a Refusal or None.
         """
         super().__init__()
         self._on_end = on_end
@@ -41,13 +41,13 @@
 
 
 def make_plain_desk(port, parts, hints, ledger=None):
-    """Return the ForwardDesk of an instance with one pool of plain servers.
+    """Return the ForwardDesk of an instance with a single pool.
 
     Args:
       port: A ForwardPort.
       parts: The ChooserParts of the pool.
-      hints: The ReturnHints of callers that some server turned away.
-      ledger: A CrashLedger, or None for one that nobody tells anything.
+      hints: The ReturnHints for rejected callers.
+      ledger: A CrashLedger, or None to create an empty one.
     """
     timers = parts.timers
     if ledger is None:
