--- a/bench/overload.py
+++ b/bench/overload.py
@@ -1,8 +1,8 @@
-"""Goodput against offered load, in virtual time: `python -m bench.overload`.
+"""Measures goodput against offered load: `python -m bench.overload`.
 
-One instance sends a mix of lengths to a pool of PassEngines, and callers do
-what the users' do: they leave when nothing comes, and those that are refused
-come back once.  A run is the same on every machine.
+One instance sends requests of mixed lengths to a pool of simulated engines in
+virtual time.  Callers cancel when no first event arrives in time, and retry
+once when they are refused.  Runs are deterministic.
 """
 
 import argparse
@@ -11,7 +11,7 @@
 from functools import partial
 from pathlib import Path
 
-from bench.pass_engines import FreeMemory, PassEngines
+from bench.pass_engines import PassEngines, UnlimitedMemory
 from crankchute.core.choosers import choosers
 from crankchute.core.crash_ledger import CrashLedger
 from crankchute.core.engine_board import EngineBoard
@@ -34,33 +34,34 @@
 from crankchute.ports.forwarding import AnswerSink
 from crankchute.ports.metrics import Metrics
 
-#: A chooser that refuses nobody, for comparison.
+#: The name of a chooser that never refuses, for comparison.
 SENDS_ALL = 'predicted, sends all'
 LOADS = (0.25, 0.5, 1, 1.5, 2, 3, 4)
 _WINDOW_MS = 10_000
-_LATE_PART = 0.25
+_LATE_VALUE_FACTOR = 0.25
 _DEADLINE_MS = 10_000
-#: A caller leaves when no first event has come after the longest of these.
-_PATIENCE_MS = 2000
+#: A caller cancels when no first event arrives within this time, or within
+#: _PATIENCE_GOALS times its latency target if that is longer.
+_MIN_PATIENCE_MS = 2000
 _PATIENCE_GOALS = 4
-#: A caller waits at most so much of the time that it has left.
-_MOST_WAIT = 0.33
-_LENGTH_MS = 30_000
+#: Callers wait at most this fraction of their remaining time.
+_MAX_WAIT_FRACTION = 0.33
+_DURATION_MS = 30_000
 _MS_PER_SECOND = 1000
 
 
-class Kind:
-    """A kind of request of the mix.
+class RequestKind:
+    """A kind of request in the mix.
 
     Attributes:
-      size: Its PromptSize.
-      per_second: How many come at load 1.
-      goal_ms: When its first event must come.
-      gap_ms: The longest pause between its events.
-      worth: What an answer in time is worth.
+      size: The PromptSize.
+      per_second: The arrival rate at load 1.
+      goal_ms: The target latency of the first event.
+      gap_ms: The longest acceptable gap between events.
+      value: The value of an answer that meets both targets.
     """
 
-    __slots__ = ('gap_ms', 'goal_ms', 'per_second', 'size', 'worth')
+    __slots__ = ('gap_ms', 'goal_ms', 'per_second', 'size', 'value')
 
     def __init__(self, size, per_second, **fields):
         """Create the kind.
@@ -74,52 +75,57 @@
         self.per_second = per_second
         self.goal_ms = fields['goal_ms']
         self.gap_ms = fields['gap_ms']
-        self.worth = fields['worth']
+        self.value = fields['value']
 
 
-#: Lengths, aims and worths of the kind that the users' first deployments have.
+#: Typical lengths, rates, targets and values of a deployment.
 MIX = (
-    Kind(PromptSize(5000, 1300), 18, goal_ms=300, gap_ms=250, worth=1.3),
-    Kind(PromptSize(45_000, 780), 1, goal_ms=1500, gap_ms=600, worth=3.9),
-    Kind(PromptSize(182_000, 640), 0.5, goal_ms=3000, gap_ms=1000, worth=24),
+    RequestKind(PromptSize(5000, 1300), 18, goal_ms=300, gap_ms=250, value=1.3),
+    RequestKind(
+        PromptSize(45_000, 780), 1, goal_ms=1500, gap_ms=600, value=3.9
+    ),
+    RequestKind(
+        PromptSize(182_000, 640), 0.5, goal_ms=3000, gap_ms=1000, value=24
+    ),
 )
 
 
 @choosers.register(SENDS_ALL)
-class SendsAll(EngineChooser):
-    """Places every prompt, whomever that harms."""
+class NeverRefusingChooser(EngineChooser):
+    """Places every request, even if others then miss their targets."""
 
     def _sends(self, job, plan):
         return True
 
 
 class Caller(AnswerSink):
-    """Asks once, and once more if it is refused.
+    """Sends a request, and retries it once if it is refused.
 
     Attributes:
-      kind: Its Kind.
-      earned: What its answer is worth, 0 until it is whole.
-      refused: How often it was refused.
-      hint_ms: When it was last told to come back, in milliseconds, or None.
-      first_ms: When the first event came, from its first try on, or None.
+      kind: The RequestKind of its request.
+      earned: The value of its answer, 0 until it is complete.
+      refused: The number of refusals.
+      hint_ms: The retry delay of the last refusal, or None.
+      first_event_ms: The time from the first attempt to the first event, or
+        None.
     """
 
     def __init__(self, world, kind, number):
-        """Create a caller that has not asked yet."""
+        """Create a caller that has not sent its request yet."""
         self._world = world
         self._number = number
         self._start_ms = world.timers.clock.now_ms()
         self._flow = None
-        self._heard_ms = None
+        self._last_event_ms = None
         self._longest_gap_ms = 0
         self.kind = kind
         self.earned = 0
         self.refused = 0
         self.hint_ms = None
-        self.first_ms = None
+        self.first_event_ms = None
 
-    def ask(self):
-        """Ask, for the first or the second time."""
+    def send_request(self):
+        """Send the request, or retry it."""
         now_ms = self._world.timers.clock.now_ms()
         job = make_job(
             request_id=f'r{self._number}-{self.refused}',
@@ -131,8 +137,8 @@
             repeat=Repeat.RESUME,
             size=self.kind.size,
         )
-        patience_ms = max(_PATIENCE_MS, _PATIENCE_GOALS * self.kind.goal_ms)
-        self._world.timers.after(patience_ms, self._leave_unless_heard)
+        patience_ms = max(_MIN_PATIENCE_MS, _PATIENCE_GOALS * self.kind.goal_ms)
+        self._world.timers.after(patience_ms, self._cancel_if_silent)
         self._flow = self._world.desk.submit(job, self)
 
     def on_answer(self, head, body):
@@ -144,19 +150,19 @@
     def on_event(self, event):
         """See AnswerSink."""
         now_ms = self._world.timers.clock.now_ms()
-        if self.first_ms is None:
-            self.first_ms = now_ms - self._start_ms
+        if self.first_event_ms is None:
+            self.first_event_ms = now_ms - self._start_ms
         else:
-            gap_ms = now_ms - self._heard_ms
+            gap_ms = now_ms - self._last_event_ms
             self._longest_gap_ms = max(self._longest_gap_ms, gap_ms)
-        self._heard_ms = now_ms
+        self._last_event_ms = now_ms
 
     def on_end(self):
         """See AnswerSink."""
-        in_time = self.first_ms <= self.kind.goal_ms
+        in_time = self.first_event_ms <= self.kind.goal_ms
         in_time = in_time and self._longest_gap_ms <= self.kind.gap_ms
-        part = 1 if in_time else _LATE_PART
-        self.earned = self.kind.worth * part
+        value_factor = 1 if in_time else _LATE_VALUE_FACTOR
+        self.earned = self.kind.value * value_factor
 
     def on_refused(self, refusal):
         """See AnswerSink."""
@@ -166,23 +172,23 @@
             return
         now_ms = self._world.timers.clock.now_ms()
         left_ms = self._start_ms + _DEADLINE_MS - now_ms
-        wait_ms = min(refusal.retry_after_ms, left_ms * _MOST_WAIT)
-        self._world.timers.after(wait_ms, self.ask)
+        wait_ms = min(refusal.retry_after_ms, left_ms * _MAX_WAIT_FRACTION)
+        self._world.timers.after(wait_ms, self.send_request)
 
-    def _leave_unless_heard(self):
-        if self.first_ms is None and self._flow is not None:
+    def _cancel_if_silent(self):
+        if self.first_event_ms is None and self._flow is not None:
             self._flow.cancel()
 
 
 class World:
-    """One instance, its engines and its callers."""
+    """A simulation of one instance, its engines and its callers."""
 
     def __init__(self, chooser, engines, seed):
-        """Create the world without callers.
+        """Create the simulation without callers.
 
         Args:
           chooser: The name of a chooser.
-          engines: How many engines there are.
+          engines: The number of engines.
           seed: An int.
         """
         self.timers = ManualTimers()
@@ -195,10 +201,10 @@
         parts.random = self._random
         parts.hints = ReturnHints(self._random)
         parts.board = EngineBoard(self.timers.clock.now_ms)
-        chosen = choosers[chooser](parts)
+        pool_chooser = choosers[chooser](parts)
         journal = FakeJournal()
         reservations = ReservationDesk(
-            FreeMemory(self.timers),
+            UnlimitedMemory(self.timers),
             self.timers,
             Metrics(),
             journal,
@@ -213,39 +219,39 @@
             hints=parts.hints,
             crashes=CrashLedger(self.timers.clock.now_ms),
             note_moved=None,
-            chooser_of={POOL: chosen}.get,
+            chooser_of={POOL: pool_chooser}.get,
         )
         limits = RetryLimits(ratio=0.2, slack=100, window_ms=_WINDOW_MS)
         self.desk = ForwardDesk(ports, limits)
 
-    def play(self, load, length_ms=_LENGTH_MS):
-        """Let callers come, and wait until all are served or gone.
+    def play(self, load, length_ms=_DURATION_MS):
+        """Simulate the arrivals of callers until all have an outcome.
 
         Args:
-          load: By how much more of them come than in MIX.
-          length_ms: For how long they come.
+          load: A factor on the arrival rates of MIX.
+          length_ms: The period in which callers arrive.
         """
         for kind in MIX:
             rate = kind.per_second * load / _MS_PER_SECOND
             at_ms = self._random.expovariate(rate)
             while at_ms < length_ms:
-                self.timers.after(at_ms, partial(self._come, kind))
+                self.timers.after(at_ms, partial(self._add_caller, kind))
                 at_ms += self._random.expovariate(rate)
         self.timers.advance(length_ms + 3 * _DEADLINE_MS)
 
-    def _come(self, kind):
+    def _add_caller(self, kind):
         caller = Caller(self, kind, len(self.callers))
         self.callers.append(caller)
-        caller.ask()
+        caller.send_request()
 
 
-def measure_goodput(chooser, load, engines=6, seed=1, length_ms=_LENGTH_MS):
-    """Return the worth of answers a second.
+def measure_goodput(chooser, load, engines=6, seed=1, length_ms=_DURATION_MS):
+    """Return the value of answers per second.
 
     Args:
       chooser: The name of a chooser.
       load: See World.play.
-      engines: How many engines there are.
+      engines: The number of engines.
       seed: An int.
       length_ms: See World.play.
     """
@@ -256,29 +262,29 @@
 
 
 def draw_curves(curves, path):
-    """Draw goodput against load.
+    """Plot goodput against load.
 
     Args:
       curves: A map from the names of choosers to lists of goodput, for LOADS.
-      path: Where the picture is written.
+      path: The image file to write.
     """
     from matplotlib import pyplot  # noqa: WPS433  (an extra)
 
     for name, goodput in curves.items():
         pyplot.plot(LOADS, goodput, marker='o', label=name)
-    pyplot.xlabel('offered load, times the usual')
-    pyplot.ylabel('worth of answers a second')
+    pyplot.xlabel('offered load, relative to the usual')
+    pyplot.ylabel('value of answers per second')
     pyplot.ylim(bottom=0)
     pyplot.legend()
     pyplot.savefig(path)
 
 
 def main():
-    """Print the curves of both ways, and draw them if asked to."""
+    """Print the curves of both choosers, and plot them with --plot."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--engines', type=int, default=6)
     parser.add_argument('--seed', type=int, default=1)
-    parser.add_argument('--plot', type=Path, help='a picture to write')
+    parser.add_argument('--plot', type=Path, help='image file to write')
     flags = parser.parse_args()
     curves = {}
     for name in (PREDICTED, SENDS_ALL):
@@ -286,8 +292,8 @@
             measure_goodput(name, load, flags.engines, flags.seed)
             for load in LOADS
         ]
-        told = ' '.join(f'{one:.1f}' for one in curves[name])
-        print(f'{name}: {told} at loads {LOADS}')
+        goodputs = ' '.join(f'{one:.1f}' for one in curves[name])
+        print(f'{name}: {goodputs} at loads {LOADS}')
     if flags.plot is not None:
         draw_curves(curves, flags.plot)
     return 0
--- a/bench/pass_engines.py
+++ b/bench/pass_engines.py
@@ -1,9 +1,9 @@
-"""Engines in virtual time that work in passes, as the published figures say.
+"""Simulated engines with continuous batching, in virtual time.
 
-A pass plays some steps for every writer and reads the prompts that were let
-in, so a read delays the next event of all who write there.  Parts of a prompt
-that several engines read take no slot.  Simpler than real engines: a pass
-reads whole prompts, and memory never runs out.
+Each pass decodes a few steps for every running request and prefills the newly
+admitted prompts, so a prefill delays the next event of all requests that are
+decoding.  Helper parts of a split prompt occupy no slot.  Unlike real engines,
+a pass prefills whole prompts, and memory is unlimited.
 """
 
 from collections import deque
@@ -16,80 +16,80 @@
 _NETWORK_MS = 1
 
 
-class Run:
-    """One request at its engine.
+class EngineRequest:
+    """One request at an engine.
 
     Attributes:
-      prompt: Tokens in.
-      answer: Tokens out.
+      prompt_tokens: The length of the prompt.
+      answer_tokens: The length of the answer.
       listener: The AttemptListener.
-      read_ms: How long its engine reads its part.
-      parts_left: How many engines still read a part of it.
-      written: Tokens written so far.
-      engine: The PassEngine that writes it.
-      is_over: Whether it ended or was given up.
-      sent: Whether it may have reached the engine; always.
+      prefill_ms: The prefill time of each part.
+      parts_left: How many parts are not prefilled yet.
+      generated: How many tokens have been generated.
+      engine: The PassEngine that decodes it.
+      ended: Whether it has completed or was cancelled.
+      sent: Whether it may have reached the engine; always True.
     """
 
     __slots__ = (
-        'answer',
+        'answer_tokens',
+        'ended',
         'engine',
-        'is_over',
+        'generated',
         'listener',
         'parts_left',
-        'prompt',
-        'read_ms',
+        'prefill_ms',
+        'prompt_tokens',
         'sent',
-        'written',
     )
 
-    def __init__(self, size, listener, engine, read_ms, parts):
-        """Create a run that nobody has read yet.
+    def __init__(self, size, listener, engine, prefill_ms, parts):
+        """Create a request whose prompt is not prefilled yet.
 
         Args:
           size: A PromptSize.
           listener: See the class.
           engine: See the class.
-          read_ms: See the class.
-          parts: Among how many engines it is read.
+          prefill_ms: See the class.
+          parts: How many engines share the prefill.
         """
         self.engine = engine
-        self.prompt = size.prompt
-        self.answer = size.answer
+        self.prompt_tokens = size.prompt
+        self.answer_tokens = size.answer
         self.listener = listener
-        self.read_ms = read_ms
+        self.prefill_ms = prefill_ms
         self.parts_left = parts
-        self.written = 0
-        self.is_over = False
+        self.generated = 0
+        self.ended = False
         self.sent = True
 
     def cancel(self):
-        """Give the run up; its engine drops it with its next pass."""
-        self.is_over = True
+        """Cancel the request; the engine removes it before the next pass."""
+        self.ended = True
 
-    def end_part(self):
-        """Note that an engine has read its part."""
+    def finish_part(self):
+        """Record that an engine has prefilled its part."""
         self.parts_left -= 1
         if not self.parts_left:
-            self.engine.begin_to_write(self)
+            self.engine.start_decoding(self)
 
-    def write(self, tokens):
-        """Write the next event.
+    def emit_event(self, tokens):
+        """Send the next event to the listener.
 
         Args:
-          tokens: How many tokens it holds.
+          tokens: The number of tokens in it.
         """
-        if not self.written:
+        if not self.generated:
             self.listener.on_head(AnswerHead(200))
-        self.written += tokens
-        self.listener.on_event(StreamEvent(self.written, b''))
-        if self.written >= self.answer and not self.is_over:
-            self.is_over = True
+        self.generated += tokens
+        self.listener.on_event(StreamEvent(self.generated, b''))
+        if self.generated >= self.answer_tokens and not self.ended:
+            self.ended = True
             self.listener.on_end()
 
 
 class PassEngine:
-    """One engine."""
+    """A simulated engine."""
 
     def __init__(self, timers, figures):
         """Create an idle engine.
@@ -101,74 +101,81 @@
         self._timers = timers
         self._figures = figures
         self._waiting = deque()
-        self._let_in = []
-        self._unread = []
-        self._writers = []
-        self._is_busy = False
-
-    def submit(self, run):
-        """Take a Run; it is read when there is a slot."""
-        self._waiting.append(run)
-        self._begin_pass()
-
-    def add_part(self, run):
-        """Take a part of a Run that another engine writes."""
-        self._unread.append(run)
-        self._begin_pass()
-
-    def begin_to_write(self, run):
-        """Write the first event of a Run of which all parts are read."""
-        self._let_in.remove(run)
-        if not run.is_over:
-            self._writers.append(run)
-            run.write(1)
-            self._begin_pass()
-
-    def _begin_pass(self):
-        if self._is_busy:
+        self._prefilling = []
+        self._pending_prefills = []
+        self._decoding = []
+        self._in_pass = False
+
+    def submit(self, request):
+        """Queue a request until a slot is free."""
+        self._waiting.append(request)
+        self._start_pass()
+
+    def add_part(self, request):
+        """Prefill a part of a request that another engine decodes."""
+        self._pending_prefills.append(request)
+        self._start_pass()
+
+    def start_decoding(self, request):
+        """Start to decode a request whose parts are all prefilled."""
+        self._prefilling.remove(request)
+        if not request.ended:
+            self._decoding.append(request)
+            request.emit_event(1)
+            self._start_pass()
+
+    def _start_pass(self):
+        if self._in_pass:
             return
-        self._let_in_waiting()
-        if not (self._unread or self._writers):
+        self._admit_waiting()
+        if not (self._pending_prefills or self._decoding):
             return
-        self._is_busy = True
-        context = sum(run.prompt + run.written for run in self._writers)
-        pass_ms = estimate_pass_ms(self._figures, len(self._writers), context)
-        reads = self._unread
-        self._unread = []
-        pass_ms += sum(run.read_ms for run in reads if not run.is_over)
-        self._timers.after(pass_ms, partial(self._end_pass, reads))
-
-    def _end_pass(self, reads):
-        for writer in self._writers:
-            if not writer.is_over:
-                writer.write(self._figures.stride)
-        for run in reads:
-            run.end_part()
-        self._is_busy = False
-        self._begin_pass()
-
-    def _let_in_waiting(self):
-        self._writers = [one for one in self._writers if not one.is_over]
-        self._waiting = deque(one for one in self._waiting if not one.is_over)
+        self._in_pass = True
+        context_tokens = sum(
+            request.prompt_tokens + request.generated
+            for request in self._decoding
+        )
+        pass_ms = estimate_pass_ms(
+            self._figures, len(self._decoding), context_tokens
+        )
+        prefills = self._pending_prefills
+        self._pending_prefills = []
+        pass_ms += sum(
+            request.prefill_ms for request in prefills if not request.ended
+        )
+        self._timers.after(pass_ms, partial(self._end_pass, prefills))
+
+    def _end_pass(self, prefills):
+        for decoding in self._decoding:
+            if not decoding.ended:
+                decoding.emit_event(self._figures.stride)
+        for prefilled in prefills:
+            prefilled.finish_part()
+        self._in_pass = False
+        self._start_pass()
+
+    def _admit_waiting(self):
+        self._decoding = [one for one in self._decoding if not one.ended]
+        self._waiting = deque(one for one in self._waiting if not one.ended)
         while self._waiting and self._count_running() < self._figures.slots:
-            run = self._waiting.popleft()
-            self._let_in.append(run)
-            self._unread.append(run)
+            request = self._waiting.popleft()
+            self._prefilling.append(request)
+            self._pending_prefills.append(request)
 
     def _count_running(self):
-        return len(self._let_in) + len(self._writers)
+        return len(self._prefilling) + len(self._decoding)
 
 
 class PassEngines(ForwardPort):
-    """Sends jobs to PassEngines by the ids of their servers."""
+    """Sends jobs to the PassEngine of the chosen backend."""
 
     def __init__(self, timers, figures, backends):
         """Create idle engines.
 
         Args:
           timers: A TimerService.
-          figures: EngineFigures of all of them.
-          backends: The Backends.
+          figures: The EngineFigures that all engines share.
+          backends: The Backends, one for each engine.
         """
         self._timers = timers
         self._figures = figures
@@ -180,17 +187,19 @@
         """See ForwardPort."""
         parts = len(placement.helpers) + 1
         engine = self._engines[placement.backend.identity]
-        read_ms = estimate_read_ms(self._figures, job.size.prompt, parts)
-        run = Run(job.size, listener, engine, read_ms, parts)
-        self._timers.after(_NETWORK_MS, partial(engine.submit, run))
+        prefill_ms = estimate_read_ms(self._figures, job.size.prompt, parts)
+        request = EngineRequest(job.size, listener, engine, prefill_ms, parts)
+        self._timers.after(_NETWORK_MS, partial(engine.submit, request))
         for helper in placement.helpers:
-            other = self._engines[helper.backend.identity]
-            self._timers.after(_NETWORK_MS, partial(other.add_part, run))
-        return run
+            helper_engine = self._engines[helper.backend.identity]
+            self._timers.after(
+                _NETWORK_MS, partial(helper_engine.add_part, request)
+            )
+        return request
 
 
-class FreeMemory(ReservationPort):
-    """Engines that set all memory aside that is asked for."""
+class UnlimitedMemory(ReservationPort):
+    """Grants every memory reservation."""
 
     def __init__(self, timers):
         """Create the port.
