--- a/bench/rest_ways.py
+++ b/bench/rest_ways.py
@@ -1,9 +1,9 @@
-"""Ways to deal with servers that want rest: `python -m bench.rest_ways`.
+"""Compares strategies for backend servers that ask clients to back off.
 
 A few instances send requests to a pool of servers in virtual time.  At times
-some servers, or all, turn a part of what comes away and name for how long they
-want nothing from the instance that asked.  Callers that are refused come back
-once, when they were told to.  A run is the same on every machine.
+some or all servers reject a fraction of the requests and ask the sending
+instance to back off for some time.  Refused callers retry once, after the delay
+that they were given.  Runs are deterministic.
 """
 
 import argparse
@@ -19,246 +19,263 @@
 from crankchute.core.return_hints import ReturnHints
 from crankchute.ports.forwarding import AnswerHead, ForwardPort, Rejection
 
-#: What an instance does with a server's wish, by name: functions of the World,
-#: of the number of the instance, of the server's place in its list, and of the
-#: milliseconds that it wants.
-ways = Registry()
-#: The name of the one that the product takes.
+#: Backoff strategies by name: functions of the World, the number of the
+#: instance, the index of the server, and the backoff in milliseconds.
+strategies = Registry()
+#: The strategy that crankchute uses.
 BY_REST = 'rest'
 
-_INSTANCES = 3
-_SERVERS = 18
+_INSTANCE_COUNT = 3
+_SERVER_COUNT = 18
 _SLOTS = 8
-_LENGTH_MS = 60_000
-_EACH_MS = 25
-_RUN_MS = (100, 1500)
-#: Answers to what does not run come so soon, and news of other instances.
-_WAY_MS = 2
-#: From so long after a wish on, requests count as too many (the users' rule).
-_KNOWN_MS = 500
-_TRIES = 2
+_DURATION_MS = 60_000
+_ARRIVAL_INTERVAL_MS = 25
+_PROCESSING_MS = (100, 1500)
+#: The delay of a rejection.
+_NETWORK_MS = 2
+#: Requests count as unwanted from this time after the backoff began.
+_GRACE_MS = 500
+_MAX_ATTEMPTS = 2
 _DEADLINE_MS = 10_000
-#: So long that no server seems silent.
-_GOAL_MS = 2000
-#: Callers wait no longer than this part of what they have left.
-_MOST_WAIT = 1 / 3
+#: Long enough that no server counts as unresponsive.
+_LATENCY_TARGET_MS = 2000
+#: Callers wait at most this fraction of their remaining time.
+_MAX_WAIT_FRACTION = 1 / 3
 
 
-class Spell:
-    """A time in which servers turn requests away.
+class OverloadPeriod:
+    """A period in which servers reject requests.
 
     Attributes:
-      begin_ms: When it begins.
-      end_ms: When it ends.
-      servers: How many servers it takes, the first of the list.
-      part: Which part of the requests they turn away.
-      rest_ms: For how long they want nothing.
+      begin_ms: The start of the period.
+      end_ms: The end of the period.
+      server_count: How many servers are affected, from the first on.
+      reject_ratio: The fraction of requests that they reject.
+      backoff_ms: The backoff that they ask for.
     """
 
-    __slots__ = ('begin_ms', 'end_ms', 'part', 'rest_ms', 'servers')
+    __slots__ = (
+        'backoff_ms',
+        'begin_ms',
+        'end_ms',
+        'reject_ratio',
+        'server_count',
+    )
 
-    def __init__(self, begin_ms, end_ms, servers, *, part, rest_ms):
-        """Create the spell."""
+    def __init__(
+        self, begin_ms, end_ms, server_count, *, reject_ratio, backoff_ms
+    ):
+        """Create the period."""
         self.begin_ms = begin_ms
         self.end_ms = end_ms
-        self.servers = servers
-        self.part = part
-        self.rest_ms = rest_ms
+        self.server_count = server_count
+        self.reject_ratio = reject_ratio
+        self.backoff_ms = backoff_ms
 
 
-_SPELLS = (
-    Spell(5000, 11_000, 2, part=0.9, rest_ms=3000),
-    Spell(20_000, 22_000, _SERVERS, part=1, rest_ms=1000),
-    Spell(30_000, 40_000, 6, part=0.5, rest_ms=2000),
+_OVERLOAD_PERIODS = (
+    OverloadPeriod(5000, 11_000, 2, reject_ratio=0.9, backoff_ms=3000),
+    OverloadPeriod(
+        20_000, 22_000, _SERVER_COUNT, reject_ratio=1, backoff_ms=1000
+    ),
+    OverloadPeriod(30_000, 40_000, 6, reject_ratio=0.5, backoff_ms=2000),
 )
 
 
-@ways.register('ignored')
-def ignore_wish(_world, _instance, _place, _rest_ms):
-    """Do nothing; a baseline."""
+@strategies.register('ignored')
+def ignore_backoff(_world, _instance, _server_index, _backoff_ms):
+    """Ignore the backoff; the baseline."""
 
 
-@ways.register(BY_REST)
-def leave_alone(world, instance, place, rest_ms):
-    """Send nothing from the instance that was turned away."""
-    backend = world.fleets[instance][place]
-    backend.leave_alone(world.timers.clock.now_ms() + rest_ms)
+@strategies.register(BY_REST)
+def back_off(world, instance, server_index, backoff_ms):
+    """Send nothing to the server from the rejected instance."""
+    backend = world.fleets[instance][server_index]
+    backend.leave_alone(world.timers.clock.now_ms() + backoff_ms)
 
 
-@ways.register('rest and suspicion')
-def leave_alone_and_suspect(world, instance, place, rest_ms):
-    """Count it as a failure as well, which fades by half in 3 s."""
-    leave_alone(world, instance, place, rest_ms)
-    backend = world.fleets[instance][place]
+@strategies.register('rest and suspicion')
+def back_off_and_record_failure(world, instance, server_index, backoff_ms):
+    """Back off, and record a failure of the server."""
+    back_off(world, instance, server_index, backoff_ms)
+    backend = world.fleets[instance][server_index]
     backend.suspicion.note_failure(world.timers.clock.now_ms())
 
 
-@ways.register('rest, all suspect')
-def leave_alone_and_warn(world, instance, place, rest_ms):
-    """Count it as a failure at all instances, as they tell each other."""
-    leave_alone(world, instance, place, rest_ms)
+@strategies.register('rest, all suspect')
+def back_off_and_record_everywhere(world, instance, server_index, backoff_ms):
+    """Back off, and record a failure of the server at every instance."""
+    back_off(world, instance, server_index, backoff_ms)
     for fleet in world.fleets:
-        fleet[place].suspicion.note_failure(world.timers.clock.now_ms())
+        fleet[server_index].suspicion.note_failure(world.timers.clock.now_ms())
 
 
-@ways.register('rest at all instances')
-def leave_alone_everywhere(world, _instance, place, rest_ms):
-    """Send nothing from anywhere."""
-    for instance in range(_INSTANCES):
-        leave_alone(world, instance, place, rest_ms)
+@strategies.register('rest at all instances')
+def back_off_everywhere(world, _instance, server_index, backoff_ms):
+    """Send nothing to the server from any instance."""
+    for instance in range(_INSTANCE_COUNT):
+        back_off(world, instance, server_index, backoff_ms)
 
 
-class Servers(ForwardPort):
-    """The servers, as one instance reaches them."""
+class ServerPort(ForwardPort):
+    """Sends the requests of one instance to the simulated servers."""
 
     def __init__(self, world, instance):
-        """Create the port of an instance, by its number."""
+        """Create the port of the instance with the given number."""
         self._world = world
         self._instance = instance
-        self._wants_ms = {}
+        self._backoffs = {}
 
     def send(self, job, placement, attempt, listener):
         """See ForwardPort."""
         world = self._world
-        place = world.fleets[self._instance].index(placement.backend)
-        self._note_arrival(place)
-        spell = world.find_spell(place)
+        server_index = world.fleets[self._instance].index(placement.backend)
+        self._note_arrival(server_index)
+        period = world.find_period(server_index)
         call = SentCall()
-        if spell is not None and world.random.random() < spell.part:
+        if period is not None and world.random.random() < period.reject_ratio:
             world.timers.after(
-                _WAY_MS,
-                partial(self._turn_away, place, spell, listener),
+                _NETWORK_MS,
+                partial(self._reject, server_index, period, listener),
             )
-        elif world.running[place] >= _SLOTS:
+        elif world.running[server_index] >= _SLOTS:
             reject = partial(listener.on_not_run, Rejection('full'))
-            world.timers.after(_WAY_MS, reject)
+            world.timers.after(_NETWORK_MS, reject)
         else:
-            world.running[place] += 1
-            run_ms = world.random.uniform(*_RUN_MS)
-            world.timers.after(run_ms, partial(_finish, world, place, listener))
+            world.running[server_index] += 1
+            processing_ms = world.random.uniform(*_PROCESSING_MS)
+            world.timers.after(
+                processing_ms,
+                partial(_finish_request, world, server_index, listener),
+            )
         return call
 
-    def _note_arrival(self, place):
+    def _note_arrival(self, server_index):
         now_ms = self._world.timers.clock.now_ms()
-        begin_ms, end_ms, count = self._wants_ms.get(place, (0, 0, 0))
+        begin_ms, end_ms, count = self._backoffs.get(server_index, (0, 0, 0))
         if begin_ms < now_ms < end_ms:
-            self._wants_ms[place] = (begin_ms, end_ms, count + 1)
+            self._backoffs[server_index] = (begin_ms, end_ms, count + 1)
             self._world.unwanted += 1
-            self._world.worst = max(self._world.worst, count + 1)
+            self._world.max_unwanted = max(self._world.max_unwanted, count + 1)
 
-    def _turn_away(self, place, spell, listener):
+    def _reject(self, server_index, period, listener):
         now_ms = self._world.timers.clock.now_ms()
-        if now_ms >= self._wants_ms.get(place, (0, 0, 0))[1]:
-            until_ms = now_ms + spell.rest_ms
-            self._wants_ms[place] = (now_ms + _KNOWN_MS, until_ms, 0)
-        self._world.take_wish(self._instance, place, spell.rest_ms)
+        if now_ms >= self._backoffs.get(server_index, (0, 0, 0))[1]:
+            until_ms = now_ms + period.backoff_ms
+            self._backoffs[server_index] = (now_ms + _GRACE_MS, until_ms, 0)
+        self._world.apply_backoff(
+            self._instance, server_index, period.backoff_ms
+        )
         listener.on_not_run(Rejection('full'))
 
 
 class World:
-    """Instances, servers and callers.
+    """Simulated instances, servers and callers.
 
     Attributes:
-      fleets: The Backends of each instance, lists.
-      running: How many requests run at each server, by its place.
-      unwanted: How many requests reached servers that had asked for rest.
-      worst: The most of them in one rest.
-      refused: How many times a caller was refused.
-      with_room: How many of those while a server had room that turned nothing
-        away.
-      answered: How many callers got an answer.
-      at_once: How many of those at their first try.
-      asked: How many callers came.
+      fleets: A list of Backends for each instance.
+      running: The number of requests in progress at each server.
+      unwanted: How many requests reached a server during a backoff.
+      max_unwanted: The most of them in one backoff.
+      refused: How many requests were refused.
+      with_room: How many of those while a server was available.
+      answered: How many callers received an answer.
+      at_once: How many of those at their first attempt.
+      asked: The number of callers.
     """
 
-    def __init__(self, way, seed):
-        """Create the world.
+    def __init__(self, strategy, seed):
+        """Create the simulation.
 
         Args:
-          way: The name of a way.
+          strategy: The name of a strategy.
           seed: An int.
         """
         self.timers = ManualTimers()
         self.random = random.Random(seed)
-        self.fleets = [make_backends(_SERVERS) for _ in range(_INSTANCES)]
-        self.running = [0 for _ in range(_SERVERS)]
+        self.fleets = [
+            make_backends(_SERVER_COUNT) for _ in range(_INSTANCE_COUNT)
+        ]
+        self.running = [0 for _ in range(_SERVER_COUNT)]
         self.unwanted = 0
-        self.worst = 0
+        self.max_unwanted = 0
         self.refused = 0
         self.with_room = 0
         self.answered = 0
         self.at_once = 0
         self.asked = 0
-        self._take = ways[way]
-        self._desks = [self._make_desk(one) for one in range(_INSTANCES)]
+        self._apply_strategy = strategies[strategy]
+        self._desks = [self._make_desk(one) for one in range(_INSTANCE_COUNT)]
 
     def play(self):
-        """Let callers come for a minute."""
-        for _ in range(_LENGTH_MS // _EACH_MS):
-            at_ms = self.random.uniform(0, _LENGTH_MS)
+        """Simulate the arrivals of callers until all have an outcome."""
+        for _ in range(_DURATION_MS // _ARRIVAL_INTERVAL_MS):
+            at_ms = self.random.uniform(0, _DURATION_MS)
             deadline_ms = at_ms + _DEADLINE_MS
             self.asked += 1
-            self.timers.after(at_ms, partial(self._ask, deadline_ms, _TRIES))
-        self.timers.advance(_LENGTH_MS * 2)
+            self.timers.after(
+                at_ms, partial(self._submit, deadline_ms, _MAX_ATTEMPTS)
+            )
+        self.timers.advance(_DURATION_MS * 2)
 
-    def find_spell(self, place):
-        """Return the Spell that a server has now, or None."""
+    def find_period(self, server_index):
+        """Return the period that affects a server now, or None."""
         now_ms = self.timers.clock.now_ms()
-        for spell in _SPELLS:
-            is_now = spell.begin_ms <= now_ms < spell.end_ms
-            if is_now and place < spell.servers:
-                return spell
+        for period in _OVERLOAD_PERIODS:
+            is_active = period.begin_ms <= now_ms < period.end_ms
+            if is_active and server_index < period.server_count:
+                return period
         return None
 
-    def take_wish(self, instance, place, rest_ms):
-        """Let an instance take a server's wish in the way of this world."""
-        self._take(self, instance, place, rest_ms)
+    def apply_backoff(self, instance, server_index, backoff_ms):
+        """Apply the strategy to a backoff that a server asked for."""
+        self._apply_strategy(self, instance, server_index, backoff_ms)
 
-    def _ask(self, deadline_ms, tries):
+    def _submit(self, deadline_ms, attempts_left):
         job = make_job(
             arrived_ms=self.timers.clock.now_ms(),
             deadline_ms=deadline_ms,
-            goal_ms=_GOAL_MS,
+            goal_ms=_LATENCY_TARGET_MS,
             repeat=Repeat.AGAIN,
             size=None,
         )
-        sink = EndSink(partial(self._take_end, deadline_ms, tries))
+        sink = EndSink(partial(self._on_end, deadline_ms, attempts_left))
         self.random.choice(self._desks).submit(job, sink)
 
-    def _take_end(self, deadline_ms, tries, refusal):
+    def _on_end(self, deadline_ms, attempts_left, refusal):
         if refusal is None:
             self.answered += 1
-            self.at_once += tries == _TRIES
+            self.at_once += attempts_left == _MAX_ATTEMPTS
             return
         self.refused += 1
-        self.with_room += self._has_room()
+        self.with_room += self._has_available_server()
         left_ms = deadline_ms - self.timers.clock.now_ms()
-        if tries > 1 and refusal.outcome == Outcome.NOT_RUN:
-            wait_ms = min(refusal.retry_after_ms, left_ms * _MOST_WAIT)
-            again = partial(self._ask, deadline_ms, tries - 1)
-            self.timers.after(wait_ms, again)
+        if attempts_left > 1 and refusal.outcome == Outcome.NOT_RUN:
+            wait_ms = min(refusal.retry_after_ms, left_ms * _MAX_WAIT_FRACTION)
+            retry = partial(self._submit, deadline_ms, attempts_left - 1)
+            self.timers.after(wait_ms, retry)
 
-    def _has_room(self):
+    def _has_available_server(self):
         return any(
-            running < _SLOTS and self.find_spell(place) is None
-            for place, running in enumerate(self.running)
+            running < _SLOTS and self.find_period(server_index) is None
+            for server_index, running in enumerate(self.running)
         )
 
     def _make_desk(self, instance):
         parts = make_parts(self.timers, lambda: list(self.fleets[instance]))
         parts.random = self.random
         parts.hints = ReturnHints(self.random)
-        return make_plain_desk(Servers(self, instance), parts, parts.hints)
+        return make_plain_desk(ServerPort(self, instance), parts, parts.hints)
 
 
-def _finish(world, place, listener):
-    world.running[place] -= 1
+def _finish_request(world, server_index, listener):
+    world.running[server_index] -= 1
     listener.on_head(AnswerHead(200))
     listener.on_end()
 
 
 def main():
-    """Print a row for each way, means over the seeds."""
+    """Print a row for each strategy, with means over the seeds."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--seeds', type=int, default=5)
     seeds = parser.parse_args().seeds
@@ -266,21 +283,21 @@
         'way                     unwanted   refused with room   at once', end=''
     )
     print('  answered worst')
-    for way in sorted(ways):
-        worlds = [World(way, seed) for seed in range(seeds)]
+    for strategy in sorted(strategies):
+        worlds = [World(strategy, seed) for seed in range(seeds)]
         for world in worlds:
             world.play()
-        print(f'{way:22}', _describe(worlds))
+        print(f'{strategy:22}', _format_means(worlds))
 
 
-def _describe(worlds):
-    """Return what happened in worlds of one way, their means as a line."""
+def _format_means(worlds):
+    """Format the means over simulations of one strategy as a line."""
     means = [
         sum(getattr(one, name) for one in worlds) / len(worlds)
         for name in ('unwanted', 'refused', 'with_room', 'at_once', 'answered')
     ]
-    worst = max(one.worst for one in worlds)
-    return ' '.join(f'{mean:9.1f}' for mean in (*means, worst))
+    max_unwanted = max(one.max_unwanted for one in worlds)
+    return ' '.join(f'{mean:9.1f}' for mean in (*means, max_unwanted))
 
 
 if __name__ == '__main__':
