--- a/bench/overload.py
+++ b/bench/overload.py
@@ -38,7 +38,7 @@
 SENDS_ALL = 'predicted, sends all'
 LOADS = (0.25, 0.5, 1, 1.5, 2, 3, 4)
 _WINDOW_MS = 10_000
-_LATE_VALUE_FACTOR = 0.25
+_LATE_UTILITY_FACTOR = 0.25
 _DEADLINE_MS = 10_000
 #: A caller cancels when no first event arrives within this time, or within
 #: _PATIENCE_GOALS times its latency target if that is longer.
@@ -58,10 +58,10 @@
       per_second: The arrival rate at load 1.
       goal_ms: The target latency of the first event.
       gap_ms: The longest acceptable gap between events.
-      value: The value of an answer that meets both targets.
+      utility: The utility of an answer that meets both targets.
     """
 
-    __slots__ = ('gap_ms', 'goal_ms', 'per_second', 'size', 'value')
+    __slots__ = ('gap_ms', 'goal_ms', 'per_second', 'size', 'utility')
 
     def __init__(self, size, per_second, **fields):
         """Create the kind.
@@ -75,17 +75,19 @@
         self.per_second = per_second
         self.goal_ms = fields['goal_ms']
         self.gap_ms = fields['gap_ms']
-        self.value = fields['value']
+        self.utility = fields['utility']
 
 
-#: Typical lengths, rates, targets and values of a deployment.
+#: Typical lengths, rates, targets and utilities of a deployment.
 MIX = (
-    RequestKind(PromptSize(5000, 1300), 18, goal_ms=300, gap_ms=250, value=1.3),
     RequestKind(
-        PromptSize(45_000, 780), 1, goal_ms=1500, gap_ms=600, value=3.9
+        PromptSize(5000, 1300), 18, goal_ms=300, gap_ms=250, utility=1.3
     ),
     RequestKind(
-        PromptSize(182_000, 640), 0.5, goal_ms=3000, gap_ms=1000, value=24
+        PromptSize(45_000, 780), 1, goal_ms=1500, gap_ms=600, utility=3.9
+    ),
+    RequestKind(
+        PromptSize(182_000, 640), 0.5, goal_ms=3000, gap_ms=1000, utility=24
     ),
 )
 
@@ -103,7 +105,7 @@
 
     Attributes:
       kind: The RequestKind of its request.
-      earned: The value of its answer, 0 until it is complete.
+      earned: The utility of its answer, 0 until it is complete.
       refused: The number of refusals.
       hint_ms: The retry delay of the last refusal, or None.
       first_event_ms: The time from the first attempt to the first event, or
@@ -161,8 +163,8 @@
         """See AnswerSink."""
         in_time = self.first_event_ms <= self.kind.goal_ms
         in_time = in_time and self._longest_gap_ms <= self.kind.gap_ms
-        value_factor = 1 if in_time else _LATE_VALUE_FACTOR
-        self.earned = self.kind.value * value_factor
+        utility_factor = 1 if in_time else _LATE_UTILITY_FACTOR
+        self.earned = self.kind.utility * utility_factor
 
     def on_refused(self, refusal):
         """See AnswerSink."""
@@ -246,7 +248,7 @@
 
 
 def measure_goodput(chooser, load, engines=6, seed=1, length_ms=_DURATION_MS):
-    """Return the value of answers per second.
+    """Return the utility of answers per second.
 
     Args:
       chooser: The name of a chooser.
@@ -273,7 +275,7 @@
     for name, goodput in curves.items():
         pyplot.plot(LOADS, goodput, marker='o', label=name)
     pyplot.xlabel('offered load, relative to the usual')
-    pyplot.ylabel('value of answers per second')
+    pyplot.ylabel('utility of answers per second')
     pyplot.ylim(bottom=0)
     pyplot.legend()
     pyplot.savefig(path)
