--- a/bench/policies.py
+++ b/bench/policies.py
@@ -1,7 +1,7 @@
-"""`make bench`: compares routing policies on the engine stand-ins.
+"""Compares routing policies on the engine stand-ins: `make bench`.
 
-One seed and load for all policies of a row; engines and dispatchers run in
-one process and in virtual time, so a run is the same on every machine.
+All policies get the same load and seeds.  Engines and dispatchers run in
+virtual time in one process, so runs are deterministic.
 """
 
 import argparse
@@ -12,13 +12,20 @@
 
 import orjson
 
-from bench.trial import CHOSEN, ENGINES, EXACT, SHORT, Trial, run_trial
+from bench.trial import (
+    DEFAULT_POLICY,
+    ENGINE_COUNT,
+    EXACT,
+    SHORT,
+    Trial,
+    run_trial,
+)
 from crankchute.core.job import length_bands
 from crankchute.core.policies import routing_policies
 
 _MILLION = 1_000_000
 _LOADS = (0.5, 0.8, 1.0, 1.5)
-#: Measures of a run, and whether less (1) or more (-1) is better.
+#: The compared measures, and whether less (1) or more (-1) is better.
 _MEASURES = (
     ('mean', 1),
     ('slowdown', 1),
@@ -31,107 +38,112 @@
     """Run every policy at every load with every seed.
 
     Args:
-      loads: Pairs of load and engines lost.
+      loads: Pairs of a load and the number of engines that fail.
       seeds: A list of ints.
       prefixes: See Trial.
     Returns:
-      A list of rows, means over the seeds.
+      A list of rows with means over the seeds.
     """
-    keys = _list_keys(loads)
+    configurations = _list_configurations(loads)
     trials = [
-        trial for key in keys for trial in _list_trials(key, seeds, prefixes)
+        trial
+        for configuration in configurations
+        for trial in _list_trials(configuration, seeds, prefixes)
     ]
     with multiprocessing.Pool() as pool:
-        ends = pool.map(run_trial, trials, chunksize=1)
+        summaries = pool.map(run_trial, trials, chunksize=1)
     width = 2 * len(seeds)
-    starts = range(0, len(ends), width)
+    starts = range(0, len(summaries), width)
     return [
-        make_row(key, ends[start : start + width])
-        for key, start in zip(keys, starts)
+        make_row(configuration, summaries[start : start + width])
+        for configuration, start in zip(configurations, starts)
     ]
 
 
-def _list_keys(loads):
+def _list_configurations(loads):
     return [
-        (name, load, lost)
-        for load, lost in loads
+        (name, load, failed)
+        for load, failed in loads
         for name in (*routing_policies, EXACT)
     ]
 
 
-def _list_trials(key, seeds, prefixes):
+def _list_trials(configuration, seeds, prefixes):
     for seed in seeds:
         for only_short in (False, True):
-            name, load, lost = key
+            name, load, failed = configuration
             yield Trial(
                 name,
                 load,
                 seed,
-                lost,
+                failed,
                 only_short=only_short,
                 prefixes=prefixes,
             )
 
 
-def make_row(key, ends):
+def make_row(configuration, summaries):
     """Return the means of one policy at one load.
 
     Args:
-      key: A tuple of the policy's name, the load, and the engines lost.
-      ends: What run_trial returned: for each seed the whole mix, then the
-        short prompts alone.
+      configuration: A tuple of the policy, the load, and the number of failed engines.
+      summaries: The results of run_trial; for each seed those of the whole mix,
+        then those of the short prompts alone.
     """
-    shared = ends[::2]
-    slowdowns = _slowdowns(ends)
+    mixed = summaries[::2]
+    slowdowns = _compute_slowdowns(summaries)
     return {
-        **dict(zip(('policy', 'load', 'lost'), key)),
-        **_band_means(shared),
+        **dict(zip(('policy', 'load', 'lost'), configuration)),
+        **_compute_band_means(mixed),
         'slowdown': round(mean(slowdowns), 2),
-        'mean': round(mean(one['mean'] for one in shared)),
-        'good %': round(mean(one['good_share'] for one in shared) * 100, 1),
-        'good Mtok': _millions(one['good_tokens'] for one in shared),
+        'mean': round(mean(one['mean'] for one in mixed)),
+        'good %': round(mean(one['good_share'] for one in mixed) * 100, 1),
+        'good Mtok': _mean_in_millions(one['good_tokens'] for one in mixed),
         'seeds': {
-            'mean': [one['mean'] for one in shared],
+            'mean': [one['mean'] for one in mixed],
             'slowdown': slowdowns,
-            'good_tokens': [one['good_tokens'] for one in shared],
-            'short_p95': [one['first'][SHORT]['p95'] for one in shared],
+            'good_tokens': [one['good_tokens'] for one in mixed],
+            'short_p95': [one['first'][SHORT]['p95'] for one in mixed],
         },
     }
 
 
 def count_wins(rows, chosen, measure, sign):
-    """Count the seeds in which a policy beats each other one.
+    """Count the seeds for which a policy beats each of the others.
 
     Args:
-      rows: Rows of one load.
+      rows: The rows of one load.
       chosen: The policy's name.
       measure: A key of a row's `seeds`.
-      sign: 1 if less is better, -1 if more is.
+      sign: 1 if less is better, -1 if more is better.
     Returns:
-      A map from the other policies' names to numbers of seeds.
+      A map from the names of the other policies to numbers of seeds.
     """
     by_name = {row['policy']: row['seeds'][measure] for row in rows}
-    mine = by_name.pop(chosen)
+    chosen_samples = by_name.pop(chosen)
     return {
-        name: _count_better(mine, theirs, sign)
-        for name, theirs in by_name.items()
+        name: _count_better(chosen_samples, other_samples, sign)
+        for name, other_samples in by_name.items()
     }
 
 
-def _count_better(mine, theirs, sign):
-    gains = [sign * (other - own) for own, other in zip(mine, theirs)]
+def _count_better(chosen_samples, other_samples, sign):
+    gains = [
+        sign * (other - own)
+        for own, other in zip(chosen_samples, other_samples)
+    ]
     return len([gain for gain in gains if gain > 0])
 
 
-def _millions(counts):
+def _mean_in_millions(counts):
     return round(mean(counts) / _MILLION, 1)
 
 
-def _band_means(shared):
+def _compute_band_means(mixed):
     return {
-        f'{band} {part}': _mean_of(shared, band, part)
+        f'{band} {percentile}': _mean_over_runs(mixed, band, percentile)
         for band in length_bands()
-        for part in ('p50', 'p95', 'p99')
+        for percentile in ('p50', 'p95', 'p99')
     }
 
 
@@ -141,14 +153,14 @@
     parser.add_argument('--seeds', type=int, default=5)
     parser.add_argument('--prefixes', type=int, default=0)
     parser.add_argument('--loads', help='loads, separated by commas')
-    parser.add_argument('--json', type=Path, help='file for all figures')
+    parser.add_argument('--json', type=Path, help='file for all results')
     flags = parser.parse_args()
     loads = _read_loads(flags.loads)
     seeds = list(range(1, flags.seeds + 1))
     rows = compare(loads, seeds, flags.prefixes)
     _print_rows(rows)
-    for load, lost in loads:
-        _print_wins(rows, load, lost)
+    for load, failed in loads:
+        _print_wins(rows, load, failed)
     if flags.json:
         flags.json.write_bytes(orjson.dumps(rows))
     return 0
@@ -157,7 +169,7 @@
 def _read_loads(text):
     if text:
         return [(float(load), 0) for load in text.split(',')]
-    return [*((load, 0) for load in _LOADS), (_LOADS[0], ENGINES // 3)]
+    return [*((load, 0) for load in _LOADS), (_LOADS[0], ENGINE_COUNT // 3)]
 
 
 def _print_rows(rows):
@@ -167,26 +179,30 @@
         print(' | '.join(str(row[name]) for name in names))
 
 
-def _print_wins(rows, load, lost):
-    same = [one for one in rows if one['load'] == load]
-    same = [one for one in same if one['lost'] == lost]
+def _print_wins(rows, load, failed):
+    selected = [one for one in rows if one['load'] == load]
+    selected = [one for one in selected if one['lost'] == failed]
     for measure, sign in _MEASURES:
-        wins = count_wins(same, CHOSEN, measure, sign)
-        print(f'{CHOSEN} at {load}, {lost} lost, {measure}: {wins}')
+        win_counts = count_wins(selected, DEFAULT_POLICY, measure, sign)
+        print(
+            f'{DEFAULT_POLICY} at {load}, {failed} lost, {measure}: {win_counts}'
+        )
 
 
-def _mean_of(ends, band, part):
-    found = [
-        one['first'][band][part] for one in ends if part in one['first'][band]
+def _mean_over_runs(summaries, band, percentile):
+    latencies = [
+        one['first'][band][percentile]
+        for one in summaries
+        if percentile in one['first'][band]
     ]
-    return round(mean(found)) if found else None
+    return round(mean(latencies)) if latencies else None
 
 
-def _slowdowns(ends):
-    pairs = zip(ends[::2], ends[1::2])
+def _compute_slowdowns(summaries):
+    pairs = zip(summaries[::2], summaries[1::2])
     return [
-        shared['first'][SHORT]['p95'] / alone['first'][SHORT]['p95']
-        for shared, alone in pairs
+        mixed['first'][SHORT]['p95'] / short_only['first'][SHORT]['p95']
+        for mixed, short_only in pairs
     ]
 
 
--- a/bench/trial.py
+++ b/bench/trial.py
@@ -1,4 +1,4 @@
-"""One run of a mix of requests in virtual time, for one policy."""
+"""Runs a mix of requests under one routing policy, in virtual time."""
 
 from functools import partial
 from statistics import mean
@@ -8,20 +8,22 @@
 from crankchute.load.mix import Part, make_prompt, plan_arrivals
 from crankchute.load.report import Distribution
 
-ENGINES = 9
+ENGINE_COUNT = 9
 SHORT = '1-4k'
-#: The policy that is chosen, and the name of a run with exact knowledge.
-CHOSEN = 'earliest-start'
+#: The policy that crankchute uses.
+DEFAULT_POLICY = 'earliest-start'
+#: The name of a run with one dispatcher and almost current load reports.
 EXACT = 'exact'
-_INSTANCES = 3
-_LAG_MS = 250
-_EXACT_LAG_MS = 10
+_INSTANCE_COUNT = 3
+_REPORT_LAG_MS = 250
+_EXACT_REPORT_LAG_MS = 10
 _DURATION_S = 25
-_TAIL_MS = 40_000
+_DRAIN_MS = 40_000
 _MEAN_TOKENS = 15_000
-#: The length of shared openings, and the prompts that have one.
-_OPENING = 16_384
-_LARGEST_OPENED = 100_000
+#: The length of shared prefixes; prompts from this length up to the limit
+#: below start with one.
+_PREFIX_TOKENS = 16_384
+_MAX_PREFIXED_TOKENS = 100_000
 _MS_PER_SECOND = 1000
 _MIX = (
     Part(
@@ -58,23 +60,29 @@
 
 
 class Trial:
-    """One run: a policy, a load, a seed, and what is lost.
+    """The parameters of a run.
 
     Attributes:
-      policy: A routing policy's name, or "exact" for a single dispatcher
-        that knows every engine's load at once.
-      load: Offered load as a part of the fleet's capacity.
+      policy: The name of a routing policy, or EXACT.
+      load: The offered load, relative to the capacity of the fleet.
       seed: An int.
-      lost: How many engines are lost after a third of the time.
-      only_short: Whether the longer parts of the mix are left out, at the
-        same times of the short ones.
-      prefixes: If not 0, among how many openings prompts of middling length
-        choose; those of 16k tokens to 100k have one.
+      failures: How many engines fail after a third of the run.
+      only_short: Whether only the short prompts are sent; their arrival times
+        stay the same.
+      prefixes: The number of distinct shared prefixes of medium-length
+        prompts, or 0 for none.
     """
 
-    __slots__ = ('load', 'lost', 'only_short', 'policy', 'prefixes', 'seed')
+    __slots__ = (
+        'failures',
+        'load',
+        'only_short',
+        'policy',
+        'prefixes',
+        'seed',
+    )
 
-    def __init__(self, policy, load, seed, lost=0, **details):
+    def __init__(self, policy, load, seed, failures=0, **options):
         """Create the trial.
 
         Args:
@@ -87,73 +95,76 @@
         self.policy = policy
         self.load = load
         self.seed = seed
-        self.lost = lost
-        self.only_short = details.get('only_short', False)
-        self.prefixes = details.get('prefixes', 0)
+        self.failures = failures
+        self.only_short = options.get('only_short', False)
+        self.prefixes = options.get('prefixes', 0)
 
 
 def run_trial(trial):
-    """Run one trial.
+    """Run a trial.
 
     Args:
       trial: A Trial.
     Returns:
-      A map of figures; times in milliseconds.
+      A map of measurements; times in milliseconds.
     """
     fleet = _make_fleet(trial.policy)
-    for number, arrival in enumerate(_plan(trial, fleet.rate)):
-        prompt = _write_prompt(trial, number, arrival.tokens)
+    for number, arrival in enumerate(_generate_arrivals(trial, fleet.rate)):
+        prompt = _build_prompt(trial, number, arrival.tokens)
         submit = partial(fleet.submit, number, arrival, prompt)
         fleet.timers.after(arrival.at_ms, submit)
-    if trial.lost:
+    if trial.failures:
         at_ms = _DURATION_S * _MS_PER_SECOND / 3
-        fleet.timers.after(at_ms, partial(fleet.lose, trial.lost))
-    fleet.timers.advance(_DURATION_S * _MS_PER_SECOND + _TAIL_MS)
+        fleet.timers.after(at_ms, partial(fleet.lose, trial.failures))
+    fleet.timers.advance(_DURATION_S * _MS_PER_SECOND + _DRAIN_MS)
     return _summarise(fleet.sinks)
 
 
-def _write_prompt(trial, number, tokens):
-    if not trial.prefixes or not _OPENING <= tokens < _LARGEST_OPENED:
+def _build_prompt(trial, number, tokens):
+    if (
+        not trial.prefixes
+        or not _PREFIX_TOKENS <= tokens < _MAX_PREFIXED_TOKENS
+    ):
         return make_prompt(tokens, number)
-    opening = make_prompt(_OPENING, f'opening-{number % trial.prefixes}')
-    return opening + make_prompt(tokens - _OPENING, number)
+    prefix = make_prompt(_PREFIX_TOKENS, f'opening-{number % trial.prefixes}')
+    return prefix + make_prompt(tokens - _PREFIX_TOKENS, number)
 
 
 def _make_fleet(policy):
     if policy == EXACT:
-        return LocalFleet(ENGINES, 1, CHOSEN, _EXACT_LAG_MS)
-    return LocalFleet(ENGINES, _INSTANCES, policy, _LAG_MS)
+        return LocalFleet(ENGINE_COUNT, 1, DEFAULT_POLICY, _EXACT_REPORT_LAG_MS)
+    return LocalFleet(ENGINE_COUNT, _INSTANCE_COUNT, policy, _REPORT_LAG_MS)
 
 
-def _plan(trial, rate):
-    """Draw arrivals whose prompts add up to the load that is wanted."""
+def _generate_arrivals(trial, rate):
+    """Generate arrivals, rescaled in time to the exact load of the trial."""
     per_second = trial.load * rate * _MS_PER_SECOND / _MEAN_TOKENS
     arrivals = plan_arrivals(list(_MIX), per_second, _DURATION_S, trial.seed)
     offered = sum(arrival.tokens for arrival in arrivals)
-    wanted = trial.load * rate * _DURATION_S * _MS_PER_SECOND
-    stretch = offered / wanted
+    target = trial.load * rate * _DURATION_S * _MS_PER_SECOND
+    time_scale = offered / target
     for arrival in arrivals:
-        arrival.at_ms *= stretch
+        arrival.at_ms *= time_scale
     if trial.only_short:
         return [one for one in arrivals if length_band(one.tokens) == SHORT]
     return arrivals
 
 
 def _summarise(sinks):
-    """Sum a run up; a request without an answer waited for its deadline."""
-    first = {band: Distribution() for band in length_bands()}
-    whole = [sink for sink in sinks if sink.count is not None]
-    waits = [_wait_of(sink) for sink in sinks]
-    for asked, waited in zip(sinks, waits):
-        first[length_band(asked.job.tokens)].add(waited)
+    """Summarise a run; unanswered requests count as waiting to the deadline."""
+    first_token = {band: Distribution() for band in length_bands()}
+    answered = [sink for sink in sinks if sink.count is not None]
+    waits_ms = [_compute_wait_ms(sink) for sink in sinks]
+    for request_sink, wait_ms in zip(sinks, waits_ms):
+        first_token[length_band(request_sink.job.tokens)].add(wait_ms)
     return {
-        'first': {band: one.summarise() for band, one in first.items()},
-        'mean': mean(waits),
-        'good_share': len(whole) / len(sinks),
-        'good_tokens': sum(sink.job.tokens for sink in whole),
+        'first': {band: one.summarise() for band, one in first_token.items()},
+        'mean': mean(waits_ms),
+        'good_share': len(answered) / len(sinks),
+        'good_tokens': sum(sink.job.tokens for sink in answered),
     }
 
 
-def _wait_of(sink):
+def _compute_wait_ms(sink):
     end_ms = sink.job.deadline_ms if sink.count is None else sink.first_ms
     return end_ms - sink.job.arrived_ms
