--- a/bench/policies.py
+++ b/bench/policies.py
@@ -86,7 +86,8 @@
     """Return the means of one policy at one load.
 
     Args:
-      configuration: A tuple of the policy, the load, and the number of failed engines.
+      configuration: A tuple of the policy, the load, and the number of failed
+        engines.
       summaries: The results of run_trial; for each seed those of the whole mix,
         then those of the short prompts alone.
     """
