--- a/bench/scenarios/__init__.py
+++ b/bench/scenarios/__init__.py
@@ -1,1 +1,1 @@
-"""The promises of the brief, each with the faults that it is meant for."""
+"""Fault scenarios that check the guarantees of crankchute on a cluster."""
--- a/bench/scenarios/base.py
+++ b/bench/scenarios/base.py
@@ -1,10 +1,10 @@
-"""What the scenarios share: their registry, verdicts, and raw requests."""
+"""The registry of scenarios, their verdicts, and helpers for raw requests."""
 
 import socket
 
 from bench.cluster import LOOPBACK, Shape
 from bench.path import build_stream_request
-from bench.storm import find_broken, find_late, wait_memory_free
+from bench.storm import find_overruns, find_violations, wait_until_idle
 from crankchute.core.registry import Registry
 
 scenarios = Registry()
@@ -14,13 +14,13 @@
 
 
 class Verdict:
-    """What a scenario found.
+    """The result of a scenario.
 
     Attributes:
-      broken: Sentences that say how the promise was broken, a list.
-      late: Sentences that say what took too long, a list; tests leave them
-        out, since their verdict must not depend on the machine's speed.
-      figure: A sentence with what was measured.
+      broken: A list of violations of the guarantee, as text.
+      late: A list of missed time limits, as text; tests ignore them, because
+        they depend on the speed of the machine.
+      figure: A summary of what was measured.
     """
 
     __slots__ = ('broken', 'figure', 'late')
@@ -29,8 +29,8 @@
         """Create the verdict.
 
         Args:
-          broken: A list of strings.
-          figure: A string.
+          broken: See the class.
+          figure: See the class.
         """
         self.broken = broken
         self.figure = figure
@@ -48,48 +48,50 @@
     return Shape(entries=4, engines=4)
 
 
-def judge(cluster, asked):
-    """Return the verdict on a storm, and on what engines still hold.
+def build_verdict(cluster, records):
+    """Return the verdict on a workload after all engines became idle.
 
     Args:
       cluster: A Cluster.
-      asked: The storm's Asked records.
+      records: The CallRecords of the workload.
     """
-    broken = find_broken(asked, cluster)
+    broken = find_violations(records, cluster)
     try:
-        wait_memory_free(cluster)
+        wait_until_idle(cluster)
     except TimeoutError:
-        broken.append('an engine kept memory')
-    whole = len([record for record in asked if record.is_whole])
-    verdict = Verdict(broken, f'{len(asked)} asked, {whole} answered whole')
-    verdict.late.extend(find_late(asked))
+        broken.append('an engine did not release its memory')
+    correct = len([record for record in records if record.is_correct])
+    verdict = Verdict(
+        broken, f'{len(records)} calls, {correct} answered correctly'
+    )
+    verdict.late.extend(find_overruns(records))
     return verdict
 
 
-def vanish(entry):
-    """Ask for a long answer and go away without reading it."""
+def abandon_request(entry):
+    """Request a long answer and disconnect after its first bytes."""
     raw = build_stream_request(9000, 50_000)
     with socket.create_connection((LOOPBACK, entry.port)) as sock:
         sock.sendall(raw)
         sock.recv(64)
 
 
-def read_pending(sock):
-    """Read what has come so far from a socket that does not block.
+def discard_received(sock):
+    """Discard what a socket has received so far.
 
     Args:
-      sock: A socket.
+      sock: A non-blocking socket.
     """
-    pending = True
-    while pending:
+    has_more = True
+    while has_more:
         try:
-            pending = sock.recv(_READ_SIZE)
+            has_more = sock.recv(_READ_SIZE)
         except BlockingIOError:
-            pending = False
+            has_more = False
 
 
-def read_to_end(sock):
-    """Return a chunked response's bytes up to its end.
+def read_response(sock):
+    """Read a chunked response to its end, or until the peer disconnects.
 
     Args:
       sock: A socket.
--- a/bench/scenarios/once.py
+++ b/bench/scenarios/once.py
@@ -1,4 +1,4 @@
-"""Scenarios: what may not be repeated runs at most once, and is said truly."""
+"""Scenarios for at-most-once execution and truthful outcomes of calls."""
 
 import signal
 import socket
@@ -7,36 +7,36 @@
 
 from bench.cluster import LOOPBACK
 from bench.path import build_raw
-from bench.scenarios.base import Verdict, judge, scenarios
-from bench.storm import Storm, count_runs
+from bench.scenarios.base import Verdict, build_verdict, scenarios
+from bench.storm import Workload, count_runs
 
 _BOOKING_HEADERS = (
     ('Crankchute-Account', 'travel-web'),
     ('Crankchute-Class', 'booking'),
 )
 _FAULTS = ('refuse', 'drop', 'delay', 'freeze')
-_PATIENCE_S = 0.9
+_READ_TIMEOUT_S = 0.9
 
 
 @scenarios.register('not run is true: refusing, lost and late services')
 def refuse_and_lose(cluster, rounds):
-    """Promise 4: what is said not to have run did not run."""
+    """Promise 4: a call that is reported as not run did not run."""
     service = cluster.services[0]
-    storm = Storm(cluster)
-    storm.add_bookings(60 * rounds, 4000, deadline_ms=2000)
+    workload = Workload(cluster)
+    workload.add_bookings(60 * rounds, 4000, deadline_ms=2000)
     for number, mode in enumerate(_FAULTS):
         fault = {'mode': mode, 'count': 8, 'delay_ms': 2500}
         at_ms = 300 + 800 * number
-        storm.at(at_ms, service.fetch, 'POST', '/admin/fault', fault)
-    storm.at(1800, cluster.entries[1].kill)
-    storm.at(2500, cluster.entries[2].send, signal.SIGSTOP)
-    storm.at(4500, cluster.entries[2].send, signal.SIGCONT)
-    return judge(cluster, storm.run())
+        workload.schedule(at_ms, service.fetch, 'POST', '/admin/fault', fault)
+    workload.schedule(1800, cluster.entries[1].kill)
+    workload.schedule(2500, cluster.entries[2].send, signal.SIGSTOP)
+    workload.schedule(4500, cluster.entries[2].send, signal.SIGCONT)
+    return build_verdict(cluster, workload.run())
 
 
 @scenarios.register('at most once: the same key to every address')
 def resubmit_everywhere(cluster, rounds):
-    """Promise 5: a caller that saw no answer submits to every address."""
+    """Promise 5: a call that is submitted to every address runs at most once."""
     service = cluster.services[0]
     service.fetch('POST', '/admin/fault', {'mode': 'delay', 'delay_ms': 600})
     keys = [
@@ -46,26 +46,28 @@
     for submitted in keys:
         _submit_to_all(cluster.entries * 2, submitted)
     time.sleep(1)
-    runs = {count_runs(cluster, key) for key in keys}
+    run_counts = {count_runs(cluster, key) for key in keys}
     cluster.entries[0].kill()
-    lost = _make_lost_key(cluster)
-    _submit_to_all(cluster.entries[1:], lost)
+    lost_key = _make_lost_key(cluster)
+    _submit_to_all(cluster.entries[1:], lost_key)
     time.sleep(1)
-    broken = [] if runs == {1} else [f'keys ran {sorted(runs)} times']
-    if count_runs(cluster, lost):
-        broken.append('a key of a lost instance ran')
+    broken = (
+        [] if run_counts == {1} else [f'keys ran {sorted(run_counts)} times']
+    )
+    if count_runs(cluster, lost_key):
+        broken.append('a key of a killed instance ran')
     return Verdict(broken, f'{len(keys)} keys, each submitted 8 times')
 
 
 def _submit_to_all(entries, key):
     threads = [
-        threading.Thread(target=_submit_blindly, args=(entry.port, key))
+        threading.Thread(target=_submit_and_disconnect, args=(entry.port, key))
         for entry in entries
     ]
     for thread in threads:
         thread.start()
-    for started in threads:
-        started.join()
+    for running in threads:
+        running.join()
 
 
 def _make_key(entry, nonce):
@@ -77,12 +79,16 @@
 
 def _make_lost_key(cluster):
     state = cluster.state(cluster.entries[1])
-    member = [one for one in state['members'] if one['instance'] == 'entry-0']
+    member = [
+        candidate
+        for candidate in state['members']
+        if candidate['instance'] == 'entry-0'
+    ]
     return f'entry-0.{member[0]["boot"]}.99999999.lost'
 
 
-def _submit_blindly(port, key):
-    """Submit a booking and go away before the answer comes."""
+def _submit_and_disconnect(port, key):
+    """Submit a booking and disconnect before the answer arrives."""
     raw = build_raw(
         'POST',
         '/v1/services/booking/bookings',
@@ -95,7 +101,7 @@
     )
     with socket.create_connection((LOOPBACK, port)) as sock:
         sock.sendall(raw)
-        sock.settimeout(_PATIENCE_S)
+        sock.settimeout(_READ_TIMEOUT_S)
         try:
             sock.recv(64)
         except TimeoutError:
--- a/bench/storm.py
+++ b/bench/storm.py
@@ -1,4 +1,4 @@
-"""Calls of many kinds at once, with faults that are timed among them."""
+"""Concurrent calls of several kinds, with actions such as faults among them."""
 
 import random
 from functools import partial
@@ -15,7 +15,7 @@
 
 _MODEL = 'small'
 _MAX_TOKENS = 40
-_SLACK_MS = 500
+_TOLERANCE_MS = 500
 _PROMPT_KINDS = (
     ('north-terminal', 'fares', 1_200),
     ('south-terminal', 'fares', 3_000),
@@ -23,78 +23,78 @@
 )
 
 
-class Asked:
-    """One call of a storm and its end.
+class CallRecord:
+    """A call of a workload and its result.
 
     Attributes:
-      wanted: The whole answer that is right, or None for a booking.
-      deadline_ms: The call's time.
-      end: A CallResult, or None before the end.
+      expected: The text of the correct answer, or None for a booking.
+      deadline_ms: The deadline of the call, in milliseconds from its start.
+      call_result: A CallResult, or None while the call is in progress.
     """
 
-    __slots__ = ('deadline_ms', 'end', 'wanted')
+    __slots__ = ('call_result', 'deadline_ms', 'expected')
 
-    def __init__(self, wanted, deadline_ms):
-        """Create the record of a call that is under way.
+    def __init__(self, expected, deadline_ms):
+        """Create the record of a call without a result.
 
         Args:
-          wanted: The right answer, or None.
-          deadline_ms: The call's time.
+          expected: See the class.
+          deadline_ms: See the class.
         """
-        self.wanted = wanted
+        self.expected = expected
         self.deadline_ms = deadline_ms
-        self.end = None
+        self.call_result = None
 
     @property
-    def is_whole(self):
-        """Whether the answer is there, whole and its own."""
-        if not self.end.is_ok:
+    def is_correct(self):
+        """Whether the call has the complete and correct answer."""
+        if not self.call_result.is_ok:
             return False
-        return self.wanted is None or self.end.text == self.wanted
+        return self.expected is None or self.call_result.text == self.expected
 
     @property
-    def is_wrong(self):
-        """Whether an answer looks whole and is not the right one."""
-        return self.end.is_ok and not self.is_whole
+    def is_corrupt(self):
+        """Whether the call succeeded with an incorrect answer."""
+        return self.call_result.is_ok and not self.is_correct
 
     @property
     def is_late(self):
-        """Whether the end came after the call's time."""
-        return self.end.total_ms > self.deadline_ms + _SLACK_MS
+        """Whether the call ended after its deadline."""
+        return self.call_result.total_ms > self.deadline_ms + _TOLERANCE_MS
 
 
-class Storm:
-    """Sends calls over a time and runs actions among them.
+class Workload:
+    """Sends calls spread over a period, and runs actions at given times.
 
     Attributes:
-      asked: The Asked records, a list.
+      records: A list of CallRecords.
     """
 
     def __init__(self, cluster, seed=1):
-        """Create a storm without calls.
+        """Create a workload without calls.
 
         Args:
           cluster: A Cluster.
-          seed: An int, for the times of the calls.
+          seed: The seed of the arrival times and prompts.
         """
         self._cluster = cluster
         self._loop = Loop()
         self._callers = {}
         self._random = random.Random(seed)
-        self.asked = []
+        self.records = []
 
-    def at(self, time_ms, action, *args):
-        """Run an action at a time from now.
+    def schedule(self, time_ms, action, *args):
+        """Schedule an action.
 
         Args:
-          time_ms: Milliseconds.
+          time_ms: The delay from now in milliseconds.
           action: A function.
-          args: Its arguments.
+          args: The arguments of the function.
         """
         self._loop.timers.after(time_ms, partial(action, *args))
 
     def add_prompts(self, count, over_ms, deadline_ms=20_000):
-        """Send short and middling prompts, spread over a time."""
+        """Schedule short and medium prompts, spread over a period."""
         for number in range(count):
             account, workload, tokens = self._random.choice(_PROMPT_KINDS)
             seed = self._random.random()
@@ -107,60 +107,60 @@
             )
 
     def add_long_prompt(self, tokens, at_ms, deadline_ms=55_000):
-        """Send one prompt beyond an engine's memory."""
+        """Schedule a prompt that exceeds the memory of one engine."""
         prompt = make_prompt(tokens, f'long-{self._random.random()}')
         self._add_prompt('audit-desk', 'complaints', prompt, at_ms, deadline_ms)
 
     def add_bookings(self, count, over_ms, deadline_ms=6_000):
-        """Send bookings, spread over a time."""
+        """Schedule bookings, spread over a period."""
         for seat in range(count):
             record = self._add_record(None, deadline_ms)
             body = orjson.dumps({'seat': seat})
             request = ServiceRequest('booking', 'POST', '/bookings', body)
             options = CallOptions('booking', deadline_ms)
-            self.at(
+            self.schedule(
                 self._random.uniform(0, over_ms),
-                self._caller('travel-web').call_service,
+                self._get_caller('travel-web').call_service,
                 request,
                 options,
-                partial(_note_end, record),
+                partial(_store_result, record),
             )
 
     def run(self):
         """Run until every call has ended.
 
         Returns:
-          The Asked records.
+          The list of CallRecords.
         """
-        self._loop.run_until(self._is_over)
-        return self.asked
+        self._loop.run_until(self._have_all_ended)
+        return self.records
 
-    def _is_over(self):
-        return all(record.end is not None for record in self.asked)
+    def _have_all_ended(self):
+        return all(record.call_result is not None for record in self.records)
 
     def _add_prompt(self, account, workload, prompt, at_ms, deadline_ms):
-        wanted = expected_answer(_MODEL, prompt.encode(), _MAX_TOKENS)
-        record = self._add_record(wanted, deadline_ms)
+        expected = expected_answer(_MODEL, prompt.encode(), _MAX_TOKENS)
+        record = self._add_record(expected, deadline_ms)
         options = CallOptions(
             workload,
             deadline_ms,
             model=_MODEL,
             max_tokens=_MAX_TOKENS,
         )
-        self.at(
+        self.schedule(
             at_ms,
-            self._caller(account).complete,
+            self._get_caller(account).complete,
             prompt,
             options,
-            partial(_note_end, record),
+            partial(_store_result, record),
         )
 
-    def _add_record(self, wanted, deadline_ms):
-        record = Asked(wanted, deadline_ms)
-        self.asked.append(record)
+    def _add_record(self, expected, deadline_ms):
+        record = CallRecord(expected, deadline_ms)
+        self.records.append(record)
         return record
 
-    def _caller(self, account):
+    def _get_caller(self, account):
         caller = self._callers.get(account)
         if caller is None:
             channel = f'storm-{len(self._callers)}'
@@ -171,7 +171,7 @@
 
 
 def count_runs(cluster, key):
-    """Return how often a key was executed, by the services' own counts.
+    """Return how often a request key was executed, as the services count it.
 
     Args:
       cluster: A Cluster.
@@ -183,63 +183,63 @@
     )
 
 
-def wait_memory_free(cluster, timeout_s=30):
-    """Wait until no engine holds memory or work for anybody.
+def wait_until_idle(cluster, timeout_s=30):
+    """Wait until no running engine holds memory or work.
 
     Args:
       cluster: A Cluster.
-      timeout_s: Seconds after which to give up.
+      timeout_s: The timeout in seconds.
     Raises:
-      TimeoutError: If an engine keeps something.
+      TimeoutError: If an engine still holds memory or work.
     """
-    alive = [one for one in cluster.engines if one.exit_code is None]
-    for engine in alive:
-        wait_for(partial(_is_free, engine), timeout_s)
+    running = [one for one in cluster.engines if one.exit_code is None]
+    for engine in running:
+        wait_for(partial(_is_idle, engine), timeout_s)
 
 
-def find_broken(asked, cluster):
-    """Return what a storm's ends say against the promises, as sentences.
+def find_violations(records, cluster):
+    """Return descriptions of incorrect answers and wrong execution counts.
 
     Args:
-      asked: Asked records.
-      cluster: A Cluster whose services were not ended meanwhile.
+      records: A list of CallRecords.
+      cluster: A Cluster whose services have not restarted since the calls.
     """
-    broken = []
-    for record in asked:
-        if record.is_wrong:
-            broken.append('an answer that looks whole is not the right one')
-        if record.end.key is not None:
-            broken.extend(_check_runs(record.end, cluster))
-    return broken
+    violations = []
+    for record in records:
+        if record.is_corrupt:
+            violations.append('a successful call returned an incorrect answer')
+        if record.call_result.key is not None:
+            violations.extend(_check_executions(record.call_result, cluster))
+    return violations
 
 
-def find_late(asked):
-    """Return which ends came after the time of their calls, as sentences.
+def find_overruns(records):
+    """Return descriptions of calls that ended after their deadline.
 
     Args:
-      asked: Asked records.
+      records: A list of CallRecords.
     """
     return [
-        f'an end came after {round(record.end.total_ms)} ms'
-        for record in asked
+        f'a call ended after {round(record.call_result.total_ms)} ms'
+        for record in records
         if record.is_late
     ]
 
 
-def _check_runs(end, cluster):
-    runs = count_runs(cluster, end.key)
+def _check_executions(call_result, cluster):
+    runs = count_runs(cluster, call_result.key)
     if runs > 1:
-        yield f'{end.key} ran {runs} times'
-    if runs and end.outcome == Outcome.NOT_RUN:
-        yield f'{end.key} ran and was said not to have run'
-    if end.is_ok and not runs:
-        yield f'{end.key} was answered and did not run'
+        yield f'{call_result.key} ran {runs} times'
+    if runs and call_result.outcome == Outcome.NOT_RUN:
+        yield f'{call_result.key} ran but was reported as not run'
+    if call_result.is_ok and not runs:
+        yield f'{call_result.key} was answered but did not run'
 
 
-def _note_end(record, end):
-    record.end = end
+def _store_result(record, call_result):
+    record.call_result = call_result
 
 
-def _is_free(engine):
+def _is_idle(engine):
     state = engine.fetch('GET', '/admin/state')[1]
     return not (state['pinned'] or state['holds'] or state['works'])
