--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -1,8 +1,7 @@
-"""Shows that the promises' tests can fail: each guard is taken out in turn.
+"""Mutation tests: checks that scenarios and tests detect a disabled guard.
 
-A copy of the code gets one change that disables a guard; the scenario that is
-meant for it must then find its promise broken.  Run it with
-`python -m bench.mutations`.
+Each mutation disables one guard in a copy of the code.  The scenario or the
+test for that guard must then fail.  Run it with `python -m bench.mutations`.
 """
 
 import shutil
@@ -13,18 +12,18 @@
 
 from bench.cluster import ROOT
 
-_LONGEST_S = 150
+_TIMEOUT_S = 150
 _SCENARIO_MODULE = ('bench.faults', '--rounds=1')
 _TEST_MODULE = ('pytest', '-x', '-c', '/dev/null', '--rootdir=.')
-_COMPLETIONS = 'crankchute/core/completion_machine_test.py'
-_CALLS = 'crankchute/core/once_machine_test.py'
-_FORWARD = 'crankchute/core/forward_flow.py'
-_MEMORY = 'crankchute/core/reservations_test.py'
-_GROUP = 'crankchute/core/group_flow.py'
+_COMPLETION_TEST = 'crankchute/core/completion_machine_test.py'
+_CALL_TEST = 'crankchute/core/once_machine_test.py'
+_FORWARD_FLOW = 'crankchute/core/forward_flow.py'
+_RESERVATION_TEST = 'crankchute/core/reservations_test.py'
+_GROUP_FLOW = 'crankchute/core/group_flow.py'
 
 
 class Mutation:
-    """One guard that is taken out, and the scenario that must notice."""
+    """A change that disables a guard, and the check that must detect it."""
 
     __slots__ = ('path', 'replaced', 'replacement', 'scenario', 'title')
 
@@ -32,11 +31,11 @@
         """Create the mutation.
 
         Args:
-          title: What is taken out.
-          scenario: A part of the scenario's name, or the path of a test.
-          path: The file, relative to the repository.
-          replaced: The code that is replaced, once in the file.
-          replacement: The code that takes its place.
+          title: The resulting fault.
+          scenario: A part of the name of a scenario, or the path of a test.
+          path: The path of the changed file in the repository.
+          replaced: The code to replace, which occurs once in the file.
+          replacement: The new code.
         """
         self.title = title
         self.scenario = scenario
@@ -47,21 +46,21 @@
 
 MUTATIONS = (
     Mutation(
-        'requests are not ended at their deadline',
+        'requests do not end at their deadline',
         'frozen and woken',
         'crankchute/core/job.py',
         'return self.deadline_ms - now_ms',
         'return self.deadline_ms - now_ms + 99_999',
     ),
     Mutation(
-        'frames are passed on after a sleep past the deadline',
-        _COMPLETIONS,
-        _FORWARD,
+        'frames are forwarded after a pause past the deadline',
+        _COMPLETION_TEST,
+        _FORWARD_FLOW,
         'if not self.ended and self.job.remaining_ms(self.now_ms()) < 0:',
         'if not self.ended and self.job.remaining_ms(self.now_ms()) < -99_999:',
     ),
     Mutation(
-        'engines are not told that the caller is gone',
+        'requests are not cancelled when the caller disconnects',
         'memory returns',
         'crankchute/entry/caller_api.py',
         'exchange.on_gone = lambda: self._give_up(request, flow)',
@@ -75,21 +74,21 @@
         'if expected is None:',
     ),
     Mutation(
-        'a lost answer is taken for a call that did not run',
+        'a call with a lost answer is reported as not run',
         'not run is true',
-        _FORWARD,
+        _FORWARD_FLOW,
         '        if self._maybe_ran:\n',
         '        if self._maybe_ran and self.job.may_repeat:\n',
     ),
     Mutation(
-        'the ledger lets a key start again',
+        'a key may start twice',
         'at most once',
         'crankchute/core/keys.py',
         'return Claim.ENDED if entry.ended else Claim.RUNNING',
         'return Claim.FIRST',
     ),
     Mutation(
-        'any instance dispatches any key',
+        'an instance accepts keys that are bound to others',
         'at most once',
         'crankchute/core/keys.py',
         'if key.binding != self._binding:',
@@ -103,119 +102,119 @@
         'if self.listed.state == LEAVING:\n            return False',
     ),
     Mutation(
-        'a stop does not wait for what is in progress',
+        'a stop does not wait for requests in progress',
         'planned stop',
         'crankchute/entry/node.py',
         'if busy or self.http_server.open_exchanges:',
         'if busy < 0:',
     ),
     Mutation(
-        'a starting instance does not take what peers have',
+        'a starting instance does not pull newer configuration from peers',
         'configuration',
         'crankchute/entry/peering.py',
         'if not is_behind or name in self._pulling or not address:',
         "if name == 'config' and not self._stores[name].seen_revision:",
     ),
     Mutation(
-        'an ended attempt stays counted',
-        _COMPLETIONS,
+        'a finished attempt stays counted as in flight',
+        _COMPLETION_TEST,
         'crankchute/core/forward_attempt.py',
         '            self.backend.in_flight -= 1\n',
         '            self.backend.in_flight -= 0\n',
     ),
     Mutation(
-        'a group keeps its holds',
-        _COMPLETIONS,
-        _GROUP,
+        'a group does not release its holds',
+        _COMPLETION_TEST,
+        _GROUP_FLOW,
         '            self._release(member.backend, self._group)\n',
         '            member.is_held = False\n',
     ),
     Mutation(
-        'a hold that comes too late is kept',
-        _COMPLETIONS,
-        _GROUP,
+        'a hold that is granted too late is not released',
+        _COMPLETION_TEST,
+        _GROUP_FLOW,
         '                self._release(member.backend, group)\n',
         '                member.is_held = False\n',
     ),
     Mutation(
-        'a release before an order that is under way is the last',
-        _MEMORY,
+        'a release counts as conclusive while a reservation is pending',
+        _RESERVATION_TEST,
         'crankchute/core/lease.py',
         'is_conclusive=not self._pending_reserves',
         'is_conclusive=True',
     ),
     Mutation(
-        'an order carried out late is not looked for',
-        _MEMORY,
+        'releases stop while a reservation may still be carried out',
+        _RESERVATION_TEST,
         'crankchute/core/lease.py',
         'self._late_until_ms = now_ms + _MAX_ORDER_DELAY_MS',
         'self._late_until_ms = now_ms',
     ),
     Mutation(
-        'a release without an answer is not sent again',
-        _MEMORY,
+        'an unanswered release is not retried',
+        _RESERVATION_TEST,
         'crankchute/core/lease.py',
         'if self._pending_reserves or self._desk.now_ms() < until_ms:',
         'if self._pending_reserves:',
     ),
     Mutation(
-        'memory is renewed without use',
-        _MEMORY,
+        'an unused reservation is renewed',
+        _RESERVATION_TEST,
         'crankchute/core/reservations.py',
         'if self._is_start_overdue() and not self._is_used:',
         'if self._ended:',
     ),
     Mutation(
-        'an attempt keeps memory that it does not use',
-        _MEMORY,
+        'an attempt does not release memory that it did not use',
+        _RESERVATION_TEST,
         'crankchute/core/forward_attempt.py',
         'if self._reservation is None or self.started:',
         'if self._reservation is None or not self.started:',
     ),
     Mutation(
-        'late timers go before what arrived',
+        'late timers run before pending reads',
         'crankchute/adapters/timers_test.py',
         'crankchute/adapters/timers.py',
         'if self._reads_first():',
         'if self._reads_first() is None:',
     ),
     Mutation(
-        'a lost release of a hold is not sent again',
+        'a lost release of a hold is not retried',
         'crankchute/core/group_flow_test.py',
         'crankchute/core/hold_release.py',
         'if desk.now_ms() < until_ms:',
         'if desk.now_ms() > until_ms:',
     ),
     Mutation(
-        'a gap in a stream is passed over',
-        _COMPLETIONS,
+        'a gap in a stream is ignored',
+        _COMPLETION_TEST,
         'crankchute/core/frames.py',
         'if frame.offset == self.offset:',
         'if frame.offset >= self.offset:',
     ),
     Mutation(
-        'a sleeper is not ended when it wakes',
-        _COMPLETIONS,
-        _FORWARD,
+        'a paused request does not end when the instance resumes',
+        _COMPLETION_TEST,
+        _FORWARD_FLOW,
         'self._desk.after(remaining_ms, self._on_deadline)',
         'self._desk.after(remaining_ms * 9, self._on_deadline)',
     ),
     Mutation(
-        'a sent call is sent again',
-        _CALLS,
-        _FORWARD,
+        'a call that may have run is repeated',
+        _CALL_TEST,
+        _FORWARD_FLOW,
         'may_repeat = self.job.may_repeat and is_safe',
         'may_repeat = is_safe',
     ),
     Mutation(
         'an expired key may start',
-        _CALLS,
+        _CALL_TEST,
         'crankchute/core/keys.py',
         'if not now_ms < key.expiry_ms <= now_ms + self._max_lifetime_ms:',
         'if key.expiry_ms > now_ms + self._max_lifetime_ms:',
     ),
     Mutation(
-        'an invalid revision is taken',
+        'an invalid configuration revision is applied',
         'configuration',
         'crankchute/core/config_check.py',
         '    if findings:\n        raise ConfigError(findings)\n'
@@ -223,112 +222,112 @@
         '    return config',
     ),
     Mutation(
-        'a server that says that it leaves is asked on',
+        'a server that announced that it leaves still gets requests',
         'crankchute/platform/server_words_test.py',
         'crankchute/core/server_notice.py',
         'if notice.is_leaving:',
         'if notice is None:',
     ),
     Mutation(
-        'servers that want rest are asked',
+        'servers that asked for a backoff still get requests',
         'crankchute/platform/resting_servers_test.py',
         'crankchute/core/choosers.py',
         'now_ms >= backend.refused_until_ms',
         'True',
     ),
     Mutation(
-        'servers whose limit is used up are asked',
+        'servers whose rate limit is exhausted still get requests',
         'crankchute/platform/limited_servers_test.py',
         'crankchute/core/choosers.py',
         'if has_turn(backend.identity)',
         'if backend',
     ),
     Mutation(
-        'each instance takes a whole limit for itself',
+        'each instance uses the whole rate limit',
         'crankchute/platform/limited_servers_test.py',
         'crankchute/core/limit_shares.py',
         'return self.share_factor / len(holders) if instance in holders else 0',
         'return 1',
     ),
     Mutation(
-        'a part counts as soon as it is seen',
+        'a share of a limit applies as soon as it is seen',
         'crankchute/core/limit_shares_test.py',
         'crankchute/core/limit_shares.py',
         'self._clock.now_ms() - WINDOW_MS',
         'self._clock.now_ms()',
     ),
     Mutation(
-        'who is cut off takes over what others had',
+        'an isolated instance takes over the shares of others',
         'crankchute/core/limit_shares_test.py',
         'crankchute/core/limit_shares.py',
         'if reachable_count > len(unreachable):',
         'if reachable_count:',
     ),
     Mutation(
-        'an answer that crossed ends a limit',
+        'an answer to a request sent before the limit loosens it',
         'crankchute/core/server_limits_test.py',
         'crankchute/core/server_limits.py',
         'if report.loosens(known) and sent_ms < known.at_ms:',
         'if report.loosens(known) and known is None:',
     ),
     Mutation(
-        'a word grows younger on its way',
+        'a relayed report replaces the report of the same source',
         'crankchute/core/server_limits_test.py',
         'crankchute/core/server_limits.py',
         'if report.source == known.source:',
         'if report is known:',
     ),
     Mutation(
-        'orders and questions do not count',
+        'reservations and probes do not count towards a limit',
         'crankchute/core/turn_lending_test.py',
         'crankchute/core/limit_turns.py',
         'self._refill(server).take(self._rate(server))',
         'self._refill(server)',
     ),
     Mutation(
-        'a turn that is lent does not count',
+        'a lent turn does not count towards a limit',
         'crankchute/core/turn_lending_test.py',
         'crankchute/core/turn_lending.py',
         'turns.note_sent(best)',
         'turns.count(best)',
     ),
     Mutation(
-        'a request that is held is sent with a turn of others',
+        'a held request is sent with a borrowed turn',
         'crankchute/core/request_placing_test.py',
         'crankchute/core/request_placing.py',
         'if isinstance(choice, Placement) or choice.code != NOT_WANTED:',
         'if isinstance(choice, Placement):',
     ),
     Mutation(
-        'nobody asks whether a limit goes on',
+        'limited servers are not probed',
         'crankchute/core/limit_turns_test.py',
         'crankchute/core/limit_questions.py',
         'self._send_probe(limit.server)',
         'self._probed_ms[limit.server] = now_ms',
     ),
     Mutation(
-        'a rest ends with an entry that lapses',
+        'a backoff is lost when the registration of the server lapses',
         'crankchute/core/server_rests_test.py',
         'crankchute/core/forward_fleet.py',
         'backend.leave_alone(self.rests.until_ms(listed.identity))',
         'backend.leave_alone(0)',
     ),
     Mutation(
-        'revisions of an older copy are compared as they are',
+        'revisions of a restored store are compared without their era',
         'crankchute/platform/store_era_test.py',
         'crankchute/platform/store_position.py',
         'return (era << _REVISION_BITS) + revision',
         'return revision',
     ),
     Mutation(
-        'servers that left are back with an older copy',
+        'a restored store brings back servers that left',
         'crankchute/platform/store_era_test.py',
         'crankchute/platform/published.py',
         'may_be_old=came_back',
         'may_be_old=False',
     ),
     Mutation(
-        'attempts after an end count for one with it',
+        'crashes of later attempts are not counted separately',
         'crankchute/core/crash_blame_test.py',
         'crankchute/core/crash_blame.py',
         'if not count or begun_ms > last_ms:',
@@ -338,52 +337,54 @@
 
 
 def try_mutation(mutation):
-    """Run a scenario or a test on code without a guard.
+    """Run the scenario or the test of a mutation on the changed code.
 
     Args:
       mutation: A Mutation.
     Returns:
-      True if the promise was found broken.
+      True if the scenario or the test detected the fault.
     Raises:
-      ValueError: If the code to replace is not there exactly once.
+      ValueError: If the code to replace does not occur exactly once.
     """
     is_test = mutation.scenario.endswith('.py')
     module = _TEST_MODULE if is_test else _SCENARIO_MODULE
-    with tempfile.TemporaryDirectory() as folder:
+    with tempfile.TemporaryDirectory() as copy_root:
         for name in ('crankchute', 'bench', 'examples'):
-            shutil.copytree(ROOT / name, Path(folder) / name)
-        _rewrite(Path(folder) / mutation.path, mutation)
-        done = subprocess.run(  # noqa: S603
+            shutil.copytree(ROOT / name, Path(copy_root) / name)
+        _rewrite(Path(copy_root) / mutation.path, mutation)
+        completed = subprocess.run(  # noqa: S603
             [sys.executable, '-m', *module, mutation.scenario],
-            cwd=folder,
+            cwd=copy_root,
             capture_output=True,
             text=True,
-            timeout=_LONGEST_S,
+            timeout=_TIMEOUT_S,
             check=False,
         )
     if is_test:
-        return done.returncode == 1
-    return done.stdout.startswith('broken')
+        return completed.returncode == 1
+    return completed.stdout.startswith('broken')
 
 
 def main():
-    """Try every mutation, or those whose title has the given words."""
-    survived = 0
-    wanted = ' '.join(sys.argv[1:])
+    """Try all mutations, or those whose title contains the arguments."""
+    survivors = 0
+    title_part = ' '.join(sys.argv[1:])
     for mutation in MUTATIONS:
-        if wanted not in mutation.title:
+        if title_part not in mutation.title:
             continue
-        is_found = try_mutation(mutation)
-        survived += not is_found
-        word = 'found' if is_found else 'SURVIVED'
+        is_detected = try_mutation(mutation)
+        survivors += not is_detected
+        word = 'found' if is_detected else 'SURVIVED'
         print(f'{word:9}{mutation.title} ({mutation.scenario})', flush=True)
-    return 1 if survived else 0
+    return 1 if survivors else 0
 
 
 def _rewrite(path, mutation):
     text = path.read_text(encoding='utf-8')
     if text.count(mutation.replaced) != 1:
-        raise ValueError(f'{mutation.title}: the code has changed')
+        raise ValueError(
+            f'{mutation.title}: the code to replace does not occur once'
+        )
     changed = text.replace(mutation.replaced, mutation.replacement)
     path.write_text(changed, encoding='utf-8')
 
