--- a/bench/policies.py
+++ b/bench/policies.py
@@ -184,10 +184,8 @@
     selected = [one for one in rows if one['load'] == load]
     selected = [one for one in selected if one['lost'] == failed]
     for measure, sign in _MEASURES:
-        win_counts = count_wins(selected, DEFAULT_POLICY, measure, sign)
-        print(
-            f'{DEFAULT_POLICY} at {load}, {failed} lost, {measure}: {win_counts}'
-        )
+        wins = count_wins(selected, DEFAULT_POLICY, measure, sign)
+        print(f'{DEFAULT_POLICY} at {load}, {failed} lost, {measure}: {wins}')
 
 
 def _mean_over_runs(summaries, band, percentile):
--- a/bench/scenarios/changes.py
+++ b/bench/scenarios/changes.py
@@ -144,4 +144,4 @@
         cluster.platform.fetch('POST', '/admin/fault', {'mode': 'none'})
     if all(_has_revision(cluster, peer, revision) for peer in peers):
         return []
-    return [f'a peer reverted its configuration with the platform {mode}']
+    return [f'a peer reverted its configuration with a {mode} platform']
--- a/bench/scenarios/once.py
+++ b/bench/scenarios/once.py
@@ -36,7 +36,7 @@
 
 @scenarios.register('at most once: the same key to every address')
 def resubmit_everywhere(cluster, rounds):
-    """Promise 5: a call that is submitted to every address runs at most once."""
+    """Promise 5: a call submitted to every address runs at most once."""
     service = cluster.services[0]
     service.fetch('POST', '/admin/fault', {'mode': 'delay', 'delay_ms': 600})
     keys = [
