--- a/bench/rest_ways.py
+++ b/bench/rest_ways.py
@@ -3,7 +3,8 @@
 A few instances send requests to a pool of servers in virtual time.  At times
 some or all servers reject a fraction of the requests and ask the sending
 instance to back off for some time.  Refused callers retry once, after the delay
-that they were given.  Runs are deterministic.
+that they were given.  Runs are deterministic.  Run it with
+`python -m bench.rest_ways`.
 """
 
 import argparse
