--- a/bench/capacity_core.py
+++ b/bench/capacity_core.py
@@ -160,7 +160,7 @@
 
 
 def measure_addresses(size):
-    """Measure choosing the account_limits that a client gets.
+    """Measure choosing the addresses that a client gets.
 
     Args:
       size: The number of instances to choose from.
--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -88,7 +88,7 @@
         'return Claim.FIRST',
     ),
     Mutation(
-        'an instance accepts request_keys that are bound to others',
+        'an instance accepts keys that are bound to others',
         'at most once',
         'crankchute/core/request_keys.py',
         'if key.binding != self._binding:',
--- a/crankchute/entry/limited_servers.py
+++ b/crankchute/entry/limited_servers.py
@@ -32,7 +32,7 @@
         if pool.engine_figures is None:
             self._reports.check_health(backend, pool.health_path)
         else:
-            # Unlike a health check_health, it does not occupy a slot of the engine.
+            # Unlike a health check, it does not occupy a slot of the engine.
             self._reports.request_load(backend, _discard_report)
 
     def _find_pool(self, backend):
