--- a/crankchute/entry/caller_api.py
+++ b/crankchute/entry/caller_api.py
@@ -6,13 +6,16 @@
 from crankchute.adapters.routes import Routes, read_query
 from crankchute.core.instance_assignment import choose_instances
 from crankchute.core.service_router import ServiceAnswer
-from crankchute.entry.answers import make_response, send_refusal
+from crankchute.entry.responses import make_response, send_refusal
 from crankchute.entry.completion_request import (
     bad_request,
     read_caller,
     read_completion,
 )
-from crankchute.entry.service_desk import MAX_KEY_LIFETIME_MS, SERVICES_PATH
+from crankchute.entry.service_dispatcher import (
+    MAX_KEY_LIFETIME_MS,
+    SERVICES_PATH,
+)
 from crankchute.errors import RequestRefused
 
 _METRICS_TYPE = 'text/plain; version=0.0.4; charset=utf-8'
--- a/crankchute/entry/forward_node.py
+++ b/crankchute/entry/forward_node.py
@@ -25,7 +25,7 @@
 from crankchute.core.retry_hints import RetryHints
 from crankchute.core.server_list import ServerList
 from crankchute.entry.forward_peers import ForwardPeers
-from crankchute.entry.limited_servers import LimitProber
+from crankchute.entry.limit_prober import LimitProber
 
 JOINING = 'joining'
 SERVING = 'serving'
--- a/crankchute/entry/node.py
+++ b/crankchute/entry/node.py
@@ -21,15 +21,15 @@
 from crankchute.core.account_limits import AccountLimits
 from crankchute.core.membership import Member
 from crankchute.core.service_router import ServiceRouter
-from crankchute.entry.borrowing import LimitLending
+from crankchute.entry.limit_lending import LimitLending
 from crankchute.entry.caller_api import CallerApi
 from crankchute.entry.state_dump import dump_node
 from crankchute.entry.inventory import Inventory
-from crankchute.entry.joining import Joiner
-from crankchute.entry.owning import EngineReconciler
+from crankchute.entry.startup import Joiner
+from crankchute.entry.engine_reconciler import EngineReconciler
 from crankchute.entry.peering import Peering
-from crankchute.entry.reading import PlatformReader
-from crankchute.entry.service_desk import ServiceDispatcher
+from crankchute.entry.platform_reader import PlatformReader
+from crankchute.entry.service_dispatcher import ServiceDispatcher
 
 JOINING = 'joining'
 SERVING = 'serving'
