--- a/bench/idle_cost.py
+++ b/bench/idle_cost.py
@@ -180,7 +180,10 @@
 
 
 def _send_probes(fleet, address, seconds):
-    """Probe the instance once per second, the rate in fleets of any size."""
+    """Probe the instance once per second.
+
+    The rate of probes does not depend on the fleet's size.
+    """
     for _ in range(seconds):
         member = random.choice(fleet.members)
         channel = grpc.insecure_channel(address)
--- a/bench/rest_ways.py
+++ b/bench/rest_ways.py
@@ -24,8 +24,8 @@
 from crankchute.core.retry_hints import RetryHints
 from crankchute.ports.forwarding import AnswerHead, ForwardPort, Rejection
 
-#: Backoff strategies by name: functions of the World, the number of the
-#: instance, the index of the server, and the backoff in milliseconds.
+#: Backoff strategies by name: functions of the simulated world, the number of
+#: the instance, the index of the server, and the backoff in milliseconds.
 strategies = Registry()
 #: The strategy that crankchute uses.
 BY_REST = 'rest'
@@ -94,7 +94,7 @@
 
 @strategies.register(BY_REST)
 def back_off(world, instance, server_index, backoff_ms):
-    """Send nothing to the server from the rejected instance."""
+    """Stop sending from the instance whose request the server rejected."""
     backend = world.fleets[instance][server_index]
     backend.pause_until(world.timers.clock.now_ms() + backoff_ms)
 
--- a/crankchute/core/completion_context.py
+++ b/crankchute/core/completion_context.py
@@ -21,7 +21,10 @@
 
 
 class CompletionContext(AttemptContext):
-    """The interface between a dispatcher and its flows."""
+    """The interface between a dispatcher and its flows.
+
+    A flow is a request in progress.
+    """
 
     def __init__(self, dispatcher, ports, data_centre):
         """Create the interface of a dispatcher.
--- a/crankchute/core/limit_shares.py
+++ b/crankchute/core/limit_shares.py
@@ -81,7 +81,7 @@
 
 
 class ParticipantTracker:
-    """Determines the participants from active and unreachable instances."""
+    """Determines which instances divide the limits of servers."""
 
     def __init__(self, own):
         """Create the tracker of an instance that knows no others.
--- a/crankchute/core/request_keys.py
+++ b/crankchute/core/request_keys.py
@@ -21,7 +21,10 @@
 
 
 class Binding:
-    """Identifies one process of one entry instance."""
+    """The process of an entry instance to which request keys are bound.
+
+    Only this process may dispatch a request with such a key.
+    """
 
     __slots__ = ('boot', 'instance')
 
--- a/crankchute/entry/service_dispatcher.py
+++ b/crankchute/entry/service_dispatcher.py
@@ -22,7 +22,7 @@
     """Handles service calls from callers and from other instances."""
 
     def __init__(self, context, router, peering, binding):
-        """Create the dispatcher and start to expire keys.
+        """Create it and start the timer that removes expired request keys.
 
         Args:
           context: An object with the attributes `timers` and `config`.
--- a/crankchute/ports/engines.py
+++ b/crankchute/ports/engines.py
@@ -74,7 +74,11 @@
 
 
 class HoldOrder:
-    """An order to reserve memory for a segment of a group."""
+    """An order to reserve memory for a segment of a group.
+
+    A group is the engines that serve one long prompt together; a segment is
+    the part of the prompt that one of them prefills.
+    """
 
     __slots__ = ('deadline_ms', 'group', 'tokens')
 
@@ -206,7 +210,7 @@
 
 
 class RequestSink(abc.ABC):
-    """Receives the answer of a completion, and exactly one end."""
+    """Receives the result of a request: its tokens, and exactly one end."""
 
     @abc.abstractmethod
     def on_tokens(self, offset, tokens):
