--- a/bench/ablations.py
+++ b/bench/ablations.py
@@ -155,8 +155,8 @@
 _register(
     'overdue signs',
     f'{_CORE}/forward_attempt.py',
-    'self.backend.suspicion.record_failure(self._context.now_ms())',
-    'self.backend.suspicion.record_failure(self._context.now_ms(), 0)',
+    'self.backend.failure_estimator.record_failure(self._context.now_ms())',
+    'self.backend.failure_estimator.record_failure(self._context.now_ms(), 0)',
 )
 _register(
     'probing of silent hosts',
--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -309,7 +309,7 @@
         'a backoff is lost when the registration of the server lapses',
         'crankchute/core/server_pauses_test.py',
         'crankchute/core/forward_fleet.py',
-        'backend.pause_until(self.rests.until_ms(listed.identity))',
+        'backend.pause_until(self.pauses.until_ms(listed.identity))',
         'backend.pause_until(0)',
     ),
     Mutation(
--- a/bench/rest_ways.py
+++ b/bench/rest_ways.py
@@ -104,7 +104,7 @@
     """Back off, and record a failure of the server."""
     back_off(world, instance, server_index, backoff_ms)
     backend = world.fleets[instance][server_index]
-    backend.suspicion.record_failure(world.timers.clock.now_ms())
+    backend.failure_estimator.record_failure(world.timers.clock.now_ms())
 
 
 @strategies.register('rest, all suspect')
@@ -112,7 +112,7 @@
     """Back off, and record a failure of the server at every instance."""
     back_off(world, instance, server_index, backoff_ms)
     for fleet in world.fleets:
-        fleet[server_index].suspicion.record_failure(
+        fleet[server_index].failure_estimator.record_failure(
             world.timers.clock.now_ms()
         )
 
--- a/crankchute/core/candidate_filter.py
+++ b/crankchute/core/candidate_filter.py
@@ -154,7 +154,7 @@
             state.wait_ms(now_ms)
             + state.decode_count * _DECODE_PENALTY_MS
             + excess * self._slot_ms
-            + backend.suspicion.failure_probability(now_ms)
+            + backend.failure_estimator.failure_probability(now_ms)
             * _FAILURE_PENALTY_MS
             + self.estimate_network_cost_s(backend) * _MS_PER_SECOND
         )
--- a/crankchute/core/choosers.py
+++ b/crankchute/core/choosers.py
@@ -264,7 +264,7 @@
         return attempt.last_event_ms + timeout_ms
 
     def _load(self, backend):
-        chance = backend.suspicion.failure_probability(self.now_ms())
+        chance = backend.failure_estimator.failure_probability(self.now_ms())
         load = backend.in_flight + chance * _FAILURE_PENALTY
         if not self._parts.is_connected(backend):
             load += _CONNECTION_COST
--- a/crankchute/core/completion_context.py
+++ b/crankchute/core/completion_context.py
@@ -37,7 +37,7 @@
         self._choice_count = 0
         self.engines = ports.engines
         self.port = CompletionPort(ports.engines, ports.metrics)
-        self.crash_watch = CrashDetector(
+        self.crash_detector = CrashDetector(
             ports.crashes,
             self.port,
             ports.timers,
--- a/crankchute/core/engine_chooser.py
+++ b/crankchute/core/engine_chooser.py
@@ -215,7 +215,7 @@
             pass_ms=pass_ms,
             is_reserved=is_reserved,
             slowness=slowness,
-            risk=backend.suspicion.failure_probability(self.now_ms()),
+            risk=backend.failure_estimator.failure_probability(self.now_ms()),
         )
 
     def _cost_of_single(self, job, candidate):
--- a/crankchute/core/engine_chooser_test.py
+++ b/crankchute/core/engine_chooser_test.py
@@ -193,11 +193,11 @@
     flow, _sink = harness.submit(is_stream=True, repeat=RetryMode.RESUME)
     backend = harness.port.calls[0].placement.backend
     harness.timers.advance(440)
-    assert not backend.suspicion.local_counts(440).failures
+    assert not backend.failure_estimator.local_counts(440).failures
     harness.timers.advance(20)
-    assert round(backend.suspicion.local_counts(460).failures) == 1
+    assert round(backend.failure_estimator.local_counts(460).failures) == 1
     flow.cancel()
-    assert round(backend.suspicion.local_counts(460).failures) == 1
+    assert round(backend.failure_estimator.local_counts(460).failures) == 1
 
 
 def test_late_response_clears_the_suspicion():
@@ -211,7 +211,7 @@
     call.listener.on_head(AnswerHead(200))
     call.listener.on_event(StreamEvent(0, b''))
     backend = call.placement.backend
-    assert not round(backend.suspicion.local_counts(460).failures, 3)
+    assert not round(backend.failure_estimator.local_counts(460).failures, 3)
 
 
 def test_queued_prefills_postpone_the_overdue_time():
--- a/crankchute/core/failure_estimator_test.py
+++ b/crankchute/core/failure_estimator_test.py
@@ -60,7 +60,7 @@
     chooser = chooser_class(make_chooser_parts(timers, lambda: backends))
     job = make_job(size=SHORT)
     first = chooser.choose(job, set()).backend
-    first.suspicion.merge_remote('another', OutcomeCounts(1, 0, 0))
+    first.failure_estimator.merge_remote('another', OutcomeCounts(1, 0, 0))
     assert chooser.choose(job, set()).backend is not first
     timers.advance(60_000)
     assert chooser.choose(job, set()).backend is first
@@ -74,7 +74,9 @@
     timers = ManualTimers()
     backends = make_backends(8)
     for backend in backends[4:6]:
-        backend.suspicion.merge_remote('another', OutcomeCounts(1, 19, 0))
+        backend.failure_estimator.merge_remote(
+            'another', OutcomeCounts(1, 19, 0)
+        )
     chooser = EngineChooser(make_chooser_parts(timers, lambda: backends))
     chosen = []
     for _ in range(35):
@@ -90,7 +92,9 @@
 def test_failing_servers_are_chosen_if_there_is_no_other(chooser_class):
     backends = make_backends(2)
     for backend in backends:
-        backend.suspicion.merge_remote('another', OutcomeCounts(9, 0, 0))
+        backend.failure_estimator.merge_remote(
+            'another', OutcomeCounts(9, 0, 0)
+        )
     chooser = chooser_class(
         make_chooser_parts(ManualTimers(), lambda: backends)
     )
@@ -110,7 +114,7 @@
     harness.submit()
     call = harness.port.calls[0]
     end(call.listener)
-    signs = call.placement.backend.suspicion.local_counts(0)
+    signs = call.placement.backend.failure_estimator.local_counts(0)
     assert round(signs.failures, 1) == failures
 
 
--- a/crankchute/core/fleet.py
+++ b/crankchute/core/fleet.py
@@ -182,13 +182,14 @@
       paused_until_ms: When requests may be sent again, after the server asked
         to be sent none.
       breaker: The circuit breaker of this instance's requests.
-      suspicion: The estimate of the server's failure rate, from the requests
-        of all instances.
+      failure_estimator: The estimate of the server's failure rate, from the
+        requests of all instances.
     """
 
     __slots__ = (
         '_pending',
         'breaker',
+        'failure_estimator',
         'in_flight',
         'listed',
         'load',
@@ -196,7 +197,6 @@
         'paused_until_ms',
         'pending_tokens',
         'prefix',
-        'suspicion',
     )
 
     def __init__(self, listed):
@@ -213,7 +213,7 @@
         self.paused_until_ms = 0
         self.long_prompt_count = 0
         self.breaker = Breaker()
-        self.suspicion = FailureEstimator()
+        self.failure_estimator = FailureEstimator()
         self.prefix = PrefixIndex()
 
     @property
@@ -241,7 +241,7 @@
           weight: How certain it is that the server is at fault, up to 1.
         """
         self.breaker.record_failure(now_ms)
-        self.suspicion.record_failure(now_ms, weight)
+        self.failure_estimator.record_failure(now_ms, weight)
 
     def record_success(self, now_ms):
         """Record that a request of this instance succeeded there.
@@ -250,7 +250,7 @@
           now_ms: The time.
         """
         self.breaker.record_success()
-        self.suspicion.record_success(now_ms)
+        self.failure_estimator.record_success(now_ms)
 
     def pause_until(self, until_ms):
         """Send no requests before a time; an earlier time changes nothing.
--- a/crankchute/core/forward_attempt.py
+++ b/crankchute/core/forward_attempt.py
@@ -169,7 +169,7 @@
             if self._reservation is not None:
                 self._reservation.record_used()
             if self._is_overdue:
-                self.backend.suspicion.retract_failure(now_ms)
+                self.backend.failure_estimator.retract_failure(now_ms)
             self._context.record_first_event(self._flow, self)
         else:
             gap_ms = now_ms - self.last_event_ms
@@ -238,7 +238,7 @@
     def _record_overdue(self):
         """Record a suspected failure, since the first event is overdue."""
         self._is_overdue = True
-        self.backend.suspicion.record_failure(self._context.now_ms())
+        self.backend.failure_estimator.record_failure(self._context.now_ms())
 
     def _on_watchdog(self):
         self._watchdog = None
--- a/crankchute/core/forward_fleet.py
+++ b/crankchute/core/forward_fleet.py
@@ -40,7 +40,7 @@
     """Backend servers by identity and by pool.
 
     Attributes:
-      rests: The ServerPauses.
+      pauses: The ServerPauses.
     """
 
     def __init__(self, timers, pool_label):
@@ -51,7 +51,7 @@
           pool_label: The label that holds the name of a server's pool.
         """
         self._timers = timers
-        self.rests = ServerPauses(timers.clock)
+        self.pauses = ServerPauses(timers.clock)
         self._pool_label = pool_label
         self._on_restarted = []
         self._latest_starts = {}
@@ -283,7 +283,7 @@
         backend = self._backends.get(listed.identity)
         if backend is None or backend.listed.address != listed.address:
             backend = Backend(listed)
-            backend.pause_until(self.rests.until_ms(listed.identity))
+            backend.pause_until(self.pauses.until_ms(listed.identity))
             self._backends[listed.identity] = backend
         backend.listed = listed
         self._latest_starts[listed.listed_id] = listed
@@ -310,7 +310,7 @@
         if backend is not None:
             # The pause that it asked for, perhaps through another server,
             # outlasts the entry.
-            self.rests.pause_until(identity, backend.paused_until_ms)
+            self.pauses.pause_until(identity, backend.paused_until_ms)
         self._listed_at_ms.pop(identity, None)
         self._removed_at_ms[identity] = self._now_ms()
         self._pools = {}
--- a/crankchute/core/forward_fleet_test.py
+++ b/crankchute/core/forward_fleet_test.py
@@ -178,7 +178,7 @@
     assert world.members() == ['a@200']
     assert world.ended == [world.first]
     again = world.fleet.get('a@200')
-    assert again.suspicion.failure_probability(0) == 0
+    assert again.failure_estimator.failure_probability(0) == 0
     assert again.listed.listed_id == 'a'
 
 
--- a/crankchute/core/forward_flow.py
+++ b/crankchute/core/forward_flow.py
@@ -125,7 +125,7 @@
         """End with the server's answer, or retry after a 5xx status."""
         self.attempt = None
         self._context.record_attempt_end(self, attempt, str(head.status))
-        self._context.crash_watch.record_answered(self.job.fingerprint)
+        self._context.crash_detector.record_answered(self.job.fingerprint)
         if self.job.is_stream and head.is_success:
             if not self._expire_if_late():
                 self._finish_stream(head)
@@ -165,7 +165,7 @@
         def retry_or_fail():
             if self.ended:
                 return
-            watch = self._context.crash_watch
+            watch = self._context.crash_detector
             is_safe = watch.may_retry(self.job.fingerprint)
             may_retry = self.job.may_retry and is_safe
             if may_retry and self._may_retry(attempt.backend):
@@ -181,7 +181,7 @@
         The answer decides whether the request may be sent again.
         """
         if exc.connection_lost:
-            self._context.crash_watch.record_connection_lost(
+            self._context.crash_detector.record_connection_lost(
                 attempt,
                 self.job.fingerprint,
                 callback,
--- a/crankchute/core/forward_flow_test.py
+++ b/crankchute/core/forward_flow_test.py
@@ -321,7 +321,7 @@
     first = harness.port.calls[0].placement
     harness.desk.record_restarted(first.helpers[0].backend)
     assert len(harness.port.calls) == 2
-    assert not first.backend.suspicion.failure_probability(0)
+    assert not first.backend.failure_estimator.failure_probability(0)
 
 
 def test_restart_of_unrelated_server_is_ignored():
--- a/crankchute/core/forwarder.py
+++ b/crankchute/core/forwarder.py
@@ -25,7 +25,7 @@
       port: The ForwardPort.
       metrics: A Metrics port.
       journal: A ForwardJournal, which logs decisions.
-      crash_watch: The CrashDetector.
+      crash_detector: The CrashDetector.
       lending: The PermitLending.
       find_chooser: A function that maps a pool name to a Chooser or None.
     """
@@ -49,7 +49,7 @@
         self._hints = ports.hints
         self._record_moved = ports.record_moved
         self._reservations = ports.reservations
-        self.crash_watch = CrashDetector(
+        self.crash_detector = CrashDetector(
             ports.crashes,
             ports.forward,
             ports.timers,
@@ -142,10 +142,10 @@
                 'no_pool',
                 f'there is no pool {flow.job.pool!r}',
             )
-        refusal = self.crash_watch.find_refusal(flow.job.fingerprint)
+        refusal = self.crash_detector.find_refusal(flow.job.fingerprint)
         if refusal is not None:
             return refusal
-        if self.crash_watch.is_suspect(flow.job.fingerprint):
+        if self.crash_detector.is_suspect(flow.job.fingerprint):
             choice = choose_isolated(chooser, flow.job, avoided)
         else:
             choice = chooser.choose(flow.job, avoided)
--- a/crankchute/core/server_notice.py
+++ b/crankchute/core/server_notice.py
@@ -95,7 +95,7 @@
             self._journal.log_notice(backend, notice)
 
     def _pause(self, identity, pause_ms):
-        until_ms = self._fleet.rests.request_pause(identity, pause_ms)
+        until_ms = self._fleet.pauses.request_pause(identity, pause_ms)
         listed = self._fleet.get(identity)
         if listed is not None:
             listed.pause_until(until_ms)
--- a/crankchute/core/single_flow.py
+++ b/crankchute/core/single_flow.py
@@ -229,7 +229,9 @@
         Returns:
           Whether the request was ended.
         """
-        refusal = self._context.crash_watch.find_refusal(self.job.fingerprint)
+        refusal = self._context.crash_detector.find_refusal(
+            self.job.fingerprint
+        )
         if refusal is None:
             return False
         self._fail(refusal.code, refusal.text, refusal.retry_after_ms)
--- a/crankchute/entry/forward_peers.py
+++ b/crankchute/entry/forward_peers.py
@@ -357,7 +357,7 @@
         for impression in message.server_health:
             backend = self._node.fleet.get(impression.server)
             if backend is not None:
-                backend.suspicion.merge_remote(
+                backend.failure_estimator.merge_remote(
                     message.instance, impression.signs
                 )
 
@@ -400,7 +400,7 @@
     """
     server_health = []
     for backend in node.fleet:
-        signs = backend.suspicion.local_counts(now_ms)
+        signs = backend.failure_estimator.local_counts(now_ms)
         if signs.failures > LEAST_FAILURES:
             server_health.append(ServerHealth(backend.identity, signs))
     return server_health
--- a/crankchute/entry/forward_state_test.py
+++ b/crankchute/entry/forward_state_test.py
@@ -27,7 +27,7 @@
 
 def test_state_holds_the_backoff_of_servers():
     node = SingleInstance().node
-    node.fleet.rests.request_pause('a', 60_000)
+    node.fleet.pauses.request_pause('a', 60_000)
     node.fleet.put(make_listed('a'))
     node.fleet.put(make_listed('b'))
     backoff_ms = {
