--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -154,8 +154,8 @@
         'an unanswered release is not retried',
         _RESERVATION_TEST,
         'crankchute/core/lease.py',
-        'if self._pending_reserves or self._desk.now_ms() < until_ms:',
-        'if self._pending_reserves:',
+        'or self._reservation_manager.now_ms() < until_ms',
+        'or False',
     ),
     Mutation(
         'an unused reservation is renewed',
--- a/crankchute/adapters/service_http_test.py
+++ b/crankchute/adapters/service_http_test.py
@@ -50,11 +50,11 @@
     if retry_after is not None:
         headers['retry-after'] = retry_after
     harness = ForwardHarness(servers=1)
-    harness.desk.port = HttpServices(FakeClient(503, headers))
+    harness.forwarder.port = HttpServices(FakeClient(503, headers))
     flow, _sink = harness.submit(payload=make_call())
     assert flow.ended
     assert harness.backends[0].paused_until_ms == until_ms
-    calls_before = len(harness.desk.port._client.called)
+    calls_before = len(harness.forwarder.port._client.called)
     harness.submit(payload=make_call())
-    is_called = len(harness.desk.port._client.called) > calls_before
+    is_called = len(harness.forwarder.port._client.called) > calls_before
     assert is_called == (until_ms == 0)
--- a/crankchute/core/forward_fakes.py
+++ b/crankchute/core/forward_fakes.py
@@ -308,7 +308,7 @@
       reservation_manager: The ReservationManager that uses these reservations.
       chooser: A FirstChooser.
       crashes: The CrashHistory.
-      desk: The Forwarder.
+      forwarder: The Forwarder.
       journal: A FakeJournal.
       moved: The Backends reported as no longer at their addresses, a list.
     """
@@ -350,7 +350,7 @@
             find_chooser={POOL: self.chooser}.get,
         )
         limits = RetryLimits(ratio=0, slack=slack, window_ms=_RETRY_WINDOW_MS)
-        self.desk = Forwarder(ports, limits)
+        self.forwarder = Forwarder(ports, limits)
 
     def submit(self, **fields):
         """Submit a job.
@@ -361,7 +361,7 @@
           A pair of the ForwardFlow and its FakeSink.
         """
         sink = FakeSink()
-        flow = self.desk.submit(make_job(**fields), sink)
+        flow = self.forwarder.submit(make_job(**fields), sink)
         return flow, sink
 
 
--- a/crankchute/core/forward_flow_test.py
+++ b/crankchute/core/forward_flow_test.py
@@ -78,7 +78,7 @@
         if not sink.events:
             RESPONSES[response](harness.port.calls[-1])
     assert sink.events == [expected]
-    assert harness.desk.in_progress == 0
+    assert harness.forwarder.in_progress == 0
 
 
 @pytest.mark.parametrize(
@@ -154,7 +154,7 @@
     flow.cancel()
     assert harness.port.calls[0].cancelled
     assert sink.events == []
-    assert harness.desk.in_progress == 0
+    assert harness.forwarder.in_progress == 0
 
 
 def test_unknown_pool_is_refused():
@@ -278,7 +278,9 @@
     harness.submit(repeat=RESUME, is_stream=True)
     for retry_after_ms in (3000, 500):
         rejection = Rejection('full', at_server, retry_after_ms)
-        harness.desk.record_rejection(None, harness.port.calls[0], rejection)
+        harness.forwarder.record_rejection(
+            None, harness.port.calls[0], rejection
+        )
     until_ms = [one.paused_until_ms for one in harness.backends]
     assert until_ms[paused] == 3000
     assert sum(until_ms) == 3000
@@ -308,7 +310,7 @@
     _flow, sink = harness.submit(repeat=repeat)
     call = harness.port.calls[0]
     call.sent = sent
-    harness.desk.record_restarted(call.placement.backend)
+    harness.forwarder.record_restarted(call.placement.backend)
     assert call.cancelled
     assert len(harness.port.calls) == calls
     assert sink.events == expected
@@ -319,7 +321,7 @@
     harness.chooser.helpers = (PrefillHelper(harness.backends[2]),)
     harness.submit(repeat=RESUME, is_stream=True)
     first = harness.port.calls[0].placement
-    harness.desk.record_restarted(first.helpers[0].backend)
+    harness.forwarder.record_restarted(first.helpers[0].backend)
     assert len(harness.port.calls) == 2
     assert not first.backend.failure_estimator.failure_probability(0)
 
@@ -332,7 +334,7 @@
         for one in harness.backends
         if one is not harness.port.calls[0].placement.backend
     )
-    harness.desk.record_restarted(other)
+    harness.forwarder.record_restarted(other)
     assert (len(harness.port.calls), sink.events) == (1, [])
 
 
--- a/crankchute/core/lease.py
+++ b/crankchute/core/lease.py
@@ -46,7 +46,6 @@
 
     __slots__ = (
         '_acquire_timers',
-        '_desk',
         '_held_until_ms',
         '_is_freed',
         '_is_released',
@@ -56,18 +55,19 @@
         '_release_count',
         '_release_timer',
         '_request_id',
+        '_reservation_manager',
         'helper',
     )
 
-    def __init__(self, desk, request_id, helper):
+    def __init__(self, reservation_manager, request_id, helper):
         """Create the lease without sending an order.
 
         Args:
-          desk: The ReservationManager.
+          reservation_manager: The ReservationManager.
           request_id: The id of the request, for logs.
           helper: A PrefillHelper with a ticket.
         """
-        self._desk = desk
+        self._reservation_manager = reservation_manager
         self._request_id = request_id
         self._pending_reserves = 0
         self._held_until_ms = 0
@@ -88,7 +88,7 @@
             first answer or after the timeout.
         """
         self._on_done = on_done
-        timers = self._desk.timers
+        timers = self._reservation_manager.timers
         self._acquire_timers = [
             timers.after(attempt * _RESERVE_RETRY_MS, self._try_acquire)
             for attempt in range(1, _RESERVE_ATTEMPTS)
@@ -145,10 +145,10 @@
                 self._retry_release()
             on_done(is_reserved)
 
-        self._desk.port.reserve(self.helper, HOLD_MS, on_answer)
+        self._reservation_manager.port.reserve(self.helper, HOLD_MS, on_answer)
 
     def _record_reserve_answer(self, is_reserved):
-        now_ms = self._desk.now_ms()
+        now_ms = self._reservation_manager.now_ms()
         if is_reserved is None:
             self._record_unanswered(RESERVE)
             self._late_until_ms = now_ms + _MAX_ORDER_DELAY_MS
@@ -156,8 +156,8 @@
             self._held_until_ms = now_ms + HOLD_MS
 
     def _record_unanswered(self, order):
-        self._desk.metrics.count('orders_unanswered', order)
-        self._desk.journal.log_order_unanswered(
+        self._reservation_manager.metrics.count('orders_unanswered', order)
+        self._reservation_manager.journal.log_order_unanswered(
             order,
             self._request_id,
             self.helper,
@@ -165,11 +165,11 @@
 
     def _send_release(self):
         self._release_count += 1
-        self._release_timer = self._desk.timers.after(
+        self._release_timer = self._reservation_manager.timers.after(
             self._release_interval_ms(),
             self._retry_release,
         )
-        self._desk.port.release(
+        self._reservation_manager.port.release(
             self.helper,
             _RELEASE_TIMEOUT_MS,
             partial(
@@ -190,7 +190,7 @@
             self._record_unanswered(RELEASE)
         elif is_conclusive and not self._is_freed:
             self._held_until_ms = 0
-            if self._desk.now_ms() >= self._late_until_ms:
+            if self._reservation_manager.now_ms() >= self._late_until_ms:
                 self._record_free()
 
     def _retry_release(self):
@@ -199,13 +199,18 @@
             return
         self._release_timer.cancel()
         until_ms = max(self._held_until_ms, self._late_until_ms)
-        if self._pending_reserves or self._desk.now_ms() < until_ms:
+        if (
+            self._pending_reserves
+            or self._reservation_manager.now_ms() < until_ms
+        ):
             self._send_release()
         else:
             self._record_free()
 
     def _release_interval_ms(self):
-        may_be_reserved = self._desk.now_ms() < self._held_until_ms
+        may_be_reserved = (
+            self._reservation_manager.now_ms() < self._held_until_ms
+        )
         if not may_be_reserved and not self._pending_reserves:
             return _LATE_RETRY_MS
         return _FIRST_RETRY_MS if self._release_count == 1 else _RETRY_MS
@@ -213,7 +218,7 @@
     def _record_free(self):
         self._is_freed = True
         self._release_timer.cancel()
-        self._desk.journal.log_released(
+        self._reservation_manager.journal.log_released(
             self._request_id,
             self.helper,
             self._release_count,
--- a/crankchute/core/request_placement_test.py
+++ b/crankchute/core/request_placement_test.py
@@ -9,7 +9,7 @@
 
 
 class World:
-    """Stands in for the desk, the chooser, the lending and the flow."""
+    """Stands in for the forwarder, the chooser, the lending and the flow."""
 
     def __init__(self, choice, server_choice, without_turn=('i-1', 'i-2')):
         self.choice = choice
--- a/crankchute/core/reservation_machine_test.py
+++ b/crankchute/core/reservation_machine_test.py
@@ -49,12 +49,14 @@
 class RequestModel:
     """A request and the memory that is reserved for it."""
 
-    def __init__(self, desk, helpers):
+    def __init__(self, reservation_manager, helpers):
         self.tickets = [helper.ticket for helper in helpers]
         self.refused = None
         self.is_used = False
         self.ended_ms = None
-        self.reservation = desk.reserve('r1', helpers, self._on_done)
+        self.reservation = reservation_manager.reserve(
+            'r1', helpers, self._on_done
+        )
 
     def _on_done(self, refused):
         self.refused = refused
@@ -69,7 +71,7 @@
         self.port = DelayedReservations(self.timers)
         self.port.delay_ms = _NORMAL_DELAY_MS
         self.backends = make_backends(_HELPER_COUNT)
-        self.desk = ReservationManager(
+        self.reservation_manager = ReservationManager(
             self.port,
             self.timers,
             Metrics(),
@@ -91,10 +93,12 @@
     def reserve(self):
         """Reserve memory for a new request."""
         helpers = [
-            PrefillHelper(backend, self.desk.create_ticket_id(), 100)
+            PrefillHelper(
+                backend, self.reservation_manager.create_ticket_id(), 100
+            )
             for backend in self.backends
         ]
-        self.requests.append(RequestModel(self.desk, helpers))
+        self.requests.append(RequestModel(self.reservation_manager, helpers))
 
     @precondition(lambda machine: machine.requests)
     @rule(choice=st.integers(min_value=0))
--- a/crankchute/core/reservations.py
+++ b/crankchute/core/reservations.py
@@ -55,7 +55,6 @@
     """
 
     __slots__ = (
-        '_desk',
         '_ended',
         '_is_used',
         '_leases',
@@ -64,31 +63,36 @@
         '_refused',
         '_renewal_timer',
         '_request_id',
+        '_reservation_manager',
         '_start_ms',
         'use_deadline_ms',
     )
 
-    def __init__(self, desk, request_id, helpers, on_done):
+    def __init__(self, reservation_manager, request_id, helpers, on_done):
         """Create the reservation; start() sends the orders.
 
         Args:
-          desk: The ReservationManager.
+          reservation_manager: The ReservationManager.
           request_id: The id of the request, for logs.
           helpers: PrefillHelpers with tickets.
           on_done: A function of a list of the PrefillHelpers whose engines
             reserved no memory; the list is empty if all did.
         """
-        self._desk = desk
+        self._reservation_manager = reservation_manager
         self._request_id = request_id
-        self._leases = [Lease(desk, request_id, helper) for helper in helpers]
+        self._leases = [
+            Lease(reservation_manager, request_id, helper) for helper in helpers
+        ]
         self._on_done = on_done
         self._pending = len(helpers)
         self._refused = []
         self._renewal_timer = None
-        self._start_ms = desk.now_ms()
+        self._start_ms = reservation_manager.now_ms()
         self._ended = False
         self._is_used = False
-        self.use_deadline_ms = self._start_ms + desk.max_unused_ms
+        self.use_deadline_ms = (
+            self._start_ms + reservation_manager.max_unused_ms
+        )
 
     def start(self):
         """Send reserve orders to all engines."""
@@ -123,24 +127,24 @@
         lease.acquire(on_acquired)
 
     def _on_all_answered(self):
-        self._desk.journal.log_reserved(
+        self._reservation_manager.journal.log_reserved(
             self._request_id,
             [lease.helper for lease in self._leases],
             self._refused,
-            self._desk.now_ms() - self._start_ms,
+            self._reservation_manager.now_ms() - self._start_ms,
         )
         if self._refused:
             self.release()
         else:
-            self._renewal_timer = self._desk.timers.every(
+            self._renewal_timer = self._reservation_manager.timers.every(
                 _RENEWAL_MS, self._renew
             )
         self._on_done(self._refused)
 
     def _is_start_overdue(self):
         """Tell whether renewals are paused until the memory is used."""
-        elapsed_ms = self._desk.now_ms() - self._start_ms
-        return elapsed_ms > self._desk.unused_renewal_ms
+        elapsed_ms = self._reservation_manager.now_ms() - self._start_ms
+        return elapsed_ms > self._reservation_manager.unused_renewal_ms
 
     def _renew(self):
         if self._is_start_overdue() and not self._is_used:
@@ -150,7 +154,7 @@
 
     def _record_renewed(self, is_renewed):
         if not is_renewed:
-            self._desk.metrics.count('renewals_lost')
+            self._reservation_manager.metrics.count('renewals_lost')
 
 
 class ReservationManager:
--- a/crankchute/core/reservations_test.py
+++ b/crankchute/core/reservations_test.py
@@ -110,7 +110,7 @@
     def __init__(self):
         self.timers = ManualTimers()
         self.port = DelayedReservations(self.timers)
-        desk = ReservationManager(
+        reservation_manager = ReservationManager(
             self.port,
             self.timers,
             Metrics(),
@@ -118,7 +118,7 @@
             'instance-boot',
         )
         backend = ForwardHarness().backends[1]
-        self.reservation = desk.reserve(
+        self.reservation = reservation_manager.reserve(
             'r1',
             [PrefillHelper(backend, 'ticket-1', 100)],
             lambda refused: None,
--- a/crankchute/core/service_router.py
+++ b/crankchute/core/service_router.py
@@ -134,7 +134,7 @@
         self._permits = ServerRateLimits(ports.timers, '', '').permits
         self._choosers = {}
         self._hints = RetryHints(ports.random)
-        self._desk = Forwarder(
+        self._forwarder = Forwarder(
             ForwarderPorts(
                 forward=services,
                 timers=ports.timers,
@@ -154,7 +154,7 @@
     @property
     def in_progress(self):
         """The number of calls in progress."""
-        return self._desk.in_progress
+        return self._forwarder.in_progress
 
     def submit(self, call, on_end):
         """Start a call.
@@ -182,7 +182,7 @@
             resume_after=None,
             payload=call,
         )
-        self._desk.submit(job, ServiceSink(on_end))
+        self._forwarder.submit(job, ServiceSink(on_end))
 
     def _find_chooser(self, pool):
         """Return a pool's chooser, which has no servers if it is unknown."""
