--- a/crankchute/core/engine_work.py
+++ b/crankchute/core/engine_work.py
@@ -10,7 +10,7 @@
 import heapq
 
 from crankchute.core.length_demand import LengthDemand
-from crankchute.core.reported_load import UnknownLoad
+from crankchute.core.reported_load import UnattributedLoad
 
 #: Typical duration of a scheduler pass with decoding requests, in
 #: milliseconds; used only to mark delayed requests.
@@ -123,7 +123,7 @@
         self.prefill_until_ms = float(0)
         self._slowness = float(1)
         self._slowness_at_ms = float(0)
-        self._unreported = UnknownLoad()
+        self._unreported = UnattributedLoad()
         self.memory = 0
         self.decode_count = 0
 
--- a/crankchute/core/failure_estimator.py
+++ b/crankchute/core/failure_estimator.py
@@ -15,7 +15,7 @@
 #: failure at an otherwise unused server gives a rate of 0.4.
 _PRIOR_SUCCESSES = 1.5
 #: Counts with fewer failures than this are not sent to other instances.
-LEAST_FAILURES = 0.1
+MIN_SHARED_FAILURES = 0.1
 
 
 class OutcomeCounts:
@@ -120,7 +120,7 @@
         failures = own.failures
         successes = own.successes
         for instance, signs in tuple(self._others.items()):
-            if signs.decay(now_ms).failures < LEAST_FAILURES:
+            if signs.decay(now_ms).failures < MIN_SHARED_FAILURES:
                 self._others.pop(instance)
                 continue
             failures += signs.failures
--- a/crankchute/core/forward_fleet.py
+++ b/crankchute/core/forward_fleet.py
@@ -88,7 +88,7 @@
         """Return the identities of all servers known to drain, a list."""
         return list(self._drained_at_ms)
 
-    def drained(self):
+    def list_recently_drained(self):
         """Return the identities of servers that began to drain recently.
 
         Other instances receive them within seconds, and new instances get the
@@ -102,7 +102,7 @@
             if now_ms - at_ms < _DRAINED_SHARE_MS
         ]
 
-    def gone(self):
+    def list_recently_removed(self):
         """Return the identities of servers removed recently, a list."""
         now_ms = self._now_ms()
         return [
@@ -158,7 +158,7 @@
             if latest.identity != listed.identity:
                 self._discard_earlier(latest.identity)
 
-    def find_reporting(self, backend, born):
+    def resolve_reporter(self, backend, born):
         """Return the Backend that a server's report is about, or None.
 
         A server's report may show a restart before the server's entry does.
@@ -239,7 +239,7 @@
         self._pools = {}
         self._discard_expired()
 
-    def record_gone(self, identity, *, is_seen=False):
+    def record_removed(self, identity, *, is_seen=False):
         """Record that a server is gone although it may still be listed.
 
         The surest sign is that another server answers at its address.  That
@@ -334,7 +334,7 @@
         }
 
 
-def wants_requests(fleet, backend, now_ms):
+def accepts_requests(fleet, backend, now_ms):
     """Return whether a server accepts new requests, as far as is known.
 
     Args:
--- a/crankchute/core/forward_fleet_test.py
+++ b/crankchute/core/forward_fleet_test.py
@@ -52,10 +52,10 @@
     # An entry from before the drain has no effect.
     world.fleet.put(make_listed('a'))
     assert world.members() == {'b'}
-    assert world.fleet.drained() == ['a']
+    assert world.fleet.list_recently_drained() == ['a']
     # The drain is permanent, but is shared with others for a limited time.
     world.timers.advance(20_000)
-    assert world.fleet.drained() == []
+    assert world.fleet.list_recently_drained() == []
     assert world.fleet.list_drained() == ['a']
 
 
@@ -75,10 +75,10 @@
     leave(world.fleet, may_have_expired)
     world.timers.advance(2000)
     assert world.members() == {'b'}
-    assert world.fleet.gone() == ['a']
+    assert world.fleet.list_recently_removed() == ['a']
     world.fleet.put(make_listed('a'))
     assert world.members() == {'a', 'b'}
-    assert world.fleet.gone() == []
+    assert world.fleet.list_recently_removed() == []
 
 
 @pytest.mark.parametrize(
@@ -88,7 +88,7 @@
 def test_reported_removal_counts_if_it_may_be_newer(age_ms, members):
     world = World()
     world.timers.advance(age_ms)
-    world.fleet.record_gone('a')
+    world.fleet.record_removed('a')
     assert world.members() == members
     world.timers.advance(9000)
     assert world.members() == {'a', 'b'}
@@ -97,14 +97,14 @@
 def test_server_replaced_at_its_address_is_avoided():
     """Also if its entry is fresh; other instances are told."""
     world = World()
-    world.fleet.record_gone('a', is_seen=True)
+    world.fleet.record_removed('a', is_seen=True)
     assert world.members() == {'b'}
-    assert world.fleet.gone() == ['a']
+    assert world.fleet.list_recently_removed() == ['a']
     world.timers.advance(7000)
     assert world.members() == {'b'}
     world.timers.advance(2000)
     assert world.members() == {'a', 'b'}
-    world.fleet.record_gone('a', is_seen=True)
+    world.fleet.record_removed('a', is_seen=True)
     assert world.members() == {'b'}
     world.fleet.put(make_listed('a', port=7009))
     assert world.members() == {'a', 'b'}
@@ -162,7 +162,7 @@
 
 def receive_removal(world):
     world.timers.advance(5000)
-    world.fleet.record_gone('a@100')
+    world.fleet.record_removed('a@100')
 
 
 def fail(world):
@@ -191,7 +191,7 @@
             [make_listed('a', LEAVING, born=100)], may_have_expired=False
         ),
         lambda fleet: fleet.record_drained('a@100'),
-        lambda fleet: fleet.record_gone('a@100'),
+        lambda fleet: fleet.record_removed('a@100'),
     ],
 )
 def test_late_news_of_an_earlier_start_has_no_effect(late):
@@ -233,7 +233,7 @@
 )
 def test_report_may_show_a_restart_before_the_entry(born, identity, members):
     world = RestartWorld()
-    found = world.fleet.find_reporting(world.first, born)
+    found = world.fleet.resolve_reporter(world.first, born)
     assert (found and found.identity) == identity
     assert world.members() == members
 
@@ -242,7 +242,7 @@
     """Only the entry says whether the new start accepts requests."""
     world = RestartWorld()
     world.fleet.put(make_listed('a', LEAVING, born=100))
-    assert world.fleet.find_reporting(world.first, 200) is None
+    assert world.fleet.resolve_reporter(world.first, 200) is None
     assert world.members() == []
     world.fleet.put(make_listed('a', born=200))
     assert world.members() == ['a@200']
--- a/crankchute/core/reported_load.py
+++ b/crankchute/core/reported_load.py
@@ -30,7 +30,7 @@
 _MAX_INTERVAL_MS = 2000
 
 
-class UnknownLoad:
+class UnattributedLoad:
     """The requests at one server that no instance accounts for.
 
     A single report may count too many: other instances' messages about new
--- a/crankchute/entry/forward_node.py
+++ b/crankchute/entry/forward_node.py
@@ -315,7 +315,7 @@
         ]
 
     def _on_load_report(self, backend, load):
-        reporting_backend = self.fleet.find_reporting(backend, load.born)
+        reporting_backend = self.fleet.resolve_reporter(backend, load.born)
         if reporting_backend is None:
             return
         chooser = self._find_chooser(self.fleet.pool_of(reporting_backend))
@@ -324,7 +324,7 @@
 
     def _on_server_moved(self, backend):
         log_change('server_moved', server=backend.identity)
-        self.fleet.record_gone(backend.identity, is_seen=True)
+        self.fleet.record_removed(backend.identity, is_seen=True)
 
     def _on_request_blocked(self, fingerprint, servers):
         """Count and log a request that is blocked because servers crashed."""
--- a/crankchute/entry/forward_peers.py
+++ b/crankchute/entry/forward_peers.py
@@ -5,7 +5,7 @@
 
 from crankchute.adapters.peer_records import read_message, write_message
 from crankchute.adapters.peers_grpc import PeerClient, PeerServer
-from crankchute.core.failure_estimator import LEAST_FAILURES
+from crankchute.core.failure_estimator import MIN_SHARED_FAILURES
 from crankchute.core.membership import Member
 from crankchute.core.peer_exchange import PeerExchange, PeerExchangeParts
 from crankchute.core.peer_message import PeerMessage, ServerHealth
@@ -314,8 +314,8 @@
             proof_age_ms=node.holder.proof_age_ms(self._now_ms()),
             servers_revision=node.servers.revision,
             servers_age_ms=node.servers.proof_age_ms(self._now_ms()),
-            draining_servers=node.fleet.drained(),
-            removed_servers=node.fleet.gone(),
+            draining_servers=node.fleet.list_recently_drained(),
+            removed_servers=node.fleet.list_recently_removed(),
             server_health=self._list_server_health(),
             limits=self.limits.advertised.list_updates(),
             **sharing_fields,
@@ -351,7 +351,7 @@
         for identity in message.draining_servers:
             fleet.record_drained(identity)
         for identity in message.removed_servers:
-            fleet.record_gone(identity)
+            fleet.record_removed(identity)
 
     def _apply_impressions(self, message):
         for impression in message.server_health:
@@ -401,7 +401,7 @@
     server_health = []
     for backend in node.fleet:
         signs = backend.failure_estimator.local_counts(now_ms)
-        if signs.failures > LEAST_FAILURES:
+        if signs.failures > MIN_SHARED_FAILURES:
             server_health.append(ServerHealth(backend.identity, signs))
     return server_health
 
--- a/crankchute/entry/forward_state.py
+++ b/crankchute/entry/forward_state.py
@@ -34,7 +34,7 @@
         ],
         'servers': [_dump_server(node, entry) for entry in node.fleet],
         'servers_drained': node.fleet.list_drained(),
-        'servers_gone': node.fleet.gone(),
+        'servers_gone': node.fleet.list_recently_removed(),
         'requests_in_progress': node.desk.in_progress,
         'requests_held': [
             _dump_held(entry, now_ms) for entry in node.crashes.quarantined
--- a/crankchute/entry/limited_servers.py
+++ b/crankchute/entry/limited_servers.py
@@ -1,6 +1,6 @@
 """Probes rate-limited servers to learn whether their limit still applies."""
 
-from crankchute.core.forward_fleet import wants_requests
+from crankchute.core.forward_fleet import accepts_requests
 
 
 class LimitProber:
@@ -27,7 +27,7 @@
         if pool is None:
             return
         node = self._node
-        if not wants_requests(node.fleet, backend, node.now_ms()):
+        if not accepts_requests(node.fleet, backend, node.now_ms()):
             return
         if pool.engine_figures is None:
             self._reports.check_health(backend, pool.health_path)
--- a/crankchute/entry/permit_lending.py
+++ b/crankchute/entry/permit_lending.py
@@ -3,7 +3,7 @@
 A turn permits one request under the limit of a server.
 """
 
-from crankchute.core.forward_fleet import wants_requests
+from crankchute.core.forward_fleet import accepts_requests
 from crankchute.core.permit_lending import (
     PermitBorrower,
     PermitOffer,
@@ -95,7 +95,7 @@
         backend = self._fleet.get(server)
         if backend is None or self._limits.advertised.limit_of(server) is None:
             return False
-        return wants_requests(self._fleet, backend, self._now_ms())
+        return accepts_requests(self._fleet, backend, self._now_ms())
 
     def _request_turn(self, lenders, servers, on_done):
         lender, *remaining_lenders = lenders
