--- a/bench/crash_ways.py
+++ b/bench/crash_ways.py
@@ -12,7 +12,7 @@
 from functools import partial
 
 from bench.model_desk import make_plain_desk
-from crankchute.core.crash_attribution import blames
+from crankchute.core.crash_attribution import attributions
 from crankchute.core.crash_history import CrashHistory
 from crankchute.core.fakes import ManualTimers
 from crankchute.core.forward_fakes import (
@@ -271,7 +271,9 @@
         make_history = (
             _EmptyLedger if blame == _WITHOUT_LEDGER else CrashHistory
         )
-        history = make_history(self.timers.clock.now_ms, blame=blames[blame])
+        history = make_history(
+            self.timers.clock.now_ms, blame=attributions[blame]
+        )
         self._histories.append(history)
         history.subscribe(partial(self._broadcast, history))
         parts = make_chooser_parts(self.timers, lambda: list(self.backends))
@@ -318,7 +320,7 @@
     parser.add_argument('--seeds', type=int, default=5)
     seeds = parser.parse_args().seeds
     print('way                  ends  late  cut  others refused')
-    for blame in sorted(blames):
+    for blame in sorted(attributions):
         worlds = [World(blame, seed) for seed in range(seeds)]
         for world in worlds:
             world.play()
--- a/crankchute/core/crash_attribution.py
+++ b/crankchute/core/crash_attribution.py
@@ -16,9 +16,9 @@
 
 #: Attribution functions by name.  Each takes crashes and returns the
 #: fingerprints of the requests that caused them.
-blames = Registry()
+attributions = Registry()
 #: The name of the function in use; the others are baselines for comparison.
-BY_LEAD = 'lead'
+BY_MARGIN = 'lead'
 #: A request is no longer sent once this many crashes are attributed to it.
 #: Users accept three more crashes after the third, so one loss of the history
 #: (all instances lose power) stays within that.
@@ -35,7 +35,7 @@
 _SIMULTANEOUS_MS = 20
 
 
-@blames.register(BY_LEAD)
+@attributions.register(BY_MARGIN)
 def attribute_by_lead(crashes):
     """Return the requests to which enough crashes are attributed.
 
@@ -60,7 +60,7 @@
     }
 
 
-@blames.register('presence')
+@attributions.register('presence')
 def attribute_to_all_present(crashes):
     """Return the requests present at enough crashes; a baseline.
 
@@ -77,7 +77,7 @@
     }
 
 
-@blames.register('nobody')
+@attributions.register('nobody')
 def attribute_to_none(_crashes):
     """Return the empty set; a baseline without attribution."""
     return set()
--- a/crankchute/core/crash_history.py
+++ b/crankchute/core/crash_history.py
@@ -52,7 +52,7 @@
           now_ms: A function that returns the time.
           on_quarantined: A function called when a request is quarantined, with
             its fingerprint and the ids of the servers that crashed; or None.
-          blame: One of the functions of crash_attribution.blames.
+          blame: One of the functions of crash_attribution.attributions.
         """
         self._now_ms = now_ms
         self._on_quarantined = on_quarantined
