--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -154,8 +154,8 @@
         'an unanswered release is not retried',
         _RESERVATION_TEST,
         'crankchute/core/lease.py',
-        'if self._pending_reserves or self._desk.now_ms() < until_ms:',
-        'if self._pending_reserves:',
+        'or self._reservation_manager.now_ms() < until_ms',
+        'or False',
     ),
     Mutation(
         'an unused reservation is renewed',
@@ -309,7 +309,7 @@
         'a backoff is lost when the registration of the server lapses',
         'crankchute/core/server_pauses_test.py',
         'crankchute/core/forward_fleet.py',
-        'backend.pause_until(self.rests.until_ms(listed.identity))',
+        'backend.pause_until(self.pauses.until_ms(listed.identity))',
         'backend.pause_until(0)',
     ),
     Mutation(
--- a/crankchute/core/forward_fleet.py
+++ b/crankchute/core/forward_fleet.py
@@ -40,7 +40,7 @@
     """Backend servers by identity and by pool.
 
     Attributes:
-      rests: The ServerPauses.
+      pauses: The ServerPauses.
     """
 
     def __init__(self, timers, pool_label):
@@ -51,7 +51,7 @@
           pool_label: The label that holds the name of a server's pool.
         """
         self._timers = timers
-        self.rests = ServerPauses(timers.clock)
+        self.pauses = ServerPauses(timers.clock)
         self._pool_label = pool_label
         self._on_restarted = []
         self._latest_starts = {}
@@ -88,7 +88,7 @@
         """Return the identities of all servers known to drain, a list."""
         return list(self._drained_at_ms)
 
-    def drained(self):
+    def list_recently_drained(self):
         """Return the identities of servers that began to drain recently.
 
         Other instances receive them within seconds, and new instances get the
@@ -102,7 +102,7 @@
             if now_ms - at_ms < _DRAINED_SHARE_MS
         ]
 
-    def gone(self):
+    def list_recently_removed(self):
         """Return the identities of servers removed recently, a list."""
         now_ms = self._now_ms()
         return [
@@ -158,7 +158,7 @@
             if latest.identity != listed.identity:
                 self._discard_earlier(latest.identity)
 
-    def find_reporting(self, backend, born):
+    def resolve_reporter(self, backend, born):
         """Return the Backend that a server's report is about, or None.
 
         A server's report may show a restart before the server's entry does.
@@ -239,7 +239,7 @@
         self._pools = {}
         self._discard_expired()
 
-    def record_gone(self, identity, *, is_seen=False):
+    def record_removed(self, identity, *, is_seen=False):
         """Record that a server is gone although it may still be listed.
 
         The surest sign is that another server answers at its address.  That
@@ -283,7 +283,7 @@
         backend = self._backends.get(listed.identity)
         if backend is None or backend.listed.address != listed.address:
             backend = Backend(listed)
-            backend.pause_until(self.rests.until_ms(listed.identity))
+            backend.pause_until(self.pauses.until_ms(listed.identity))
             self._backends[listed.identity] = backend
         backend.listed = listed
         self._latest_starts[listed.listed_id] = listed
@@ -310,7 +310,7 @@
         if backend is not None:
             # The pause that it asked for, perhaps through another server,
             # outlasts the entry.
-            self.rests.pause_until(identity, backend.paused_until_ms)
+            self.pauses.pause_until(identity, backend.paused_until_ms)
         self._listed_at_ms.pop(identity, None)
         self._removed_at_ms[identity] = self._now_ms()
         self._pools = {}
@@ -334,7 +334,7 @@
         }
 
 
-def wants_requests(fleet, backend, now_ms):
+def accepts_requests(fleet, backend, now_ms):
     """Return whether a server accepts new requests, as far as is known.
 
     Args:
