--- a/bench/limit_ways.py
+++ b/bench/limit_ways.py
@@ -197,7 +197,7 @@
       permits: The permits to send to servers with a limit.
       uses_limits: Whether advertised limits are observed, a bool.
       lends_permits: Whether permits are borrowed, a bool.
-      desk: The ForwardDesk that requests are submitted to.
+      desk: The Forwarder that requests are submitted to.
     """
 
     def __init__(self, world, name):
