--- a/bench/mutations.py
+++ b/bench/mutations.py
@@ -285,14 +285,14 @@
         'self._refill(server)',
     ),
     Mutation(
-        'a lent turn does not count towards a limit',
+        'a lent permit does not count towards a limit',
         'crankchute/core/permit_lending_test.py',
         'crankchute/core/permit_lending.py',
         'permits.record_sent(best)',
         'permits.available(best)',
     ),
     Mutation(
-        'a held request is sent with a borrowed turn',
+        'a held request is sent with a borrowed permit',
         'crankchute/core/request_placement_test.py',
         'crankchute/core/request_placement.py',
         'if isinstance(choice, Placement) or choice.code != PAUSED_OR_LIMITED:',
--- a/crankchute/entry/permit_lending.py
+++ b/crankchute/entry/permit_lending.py
@@ -1,6 +1,6 @@
-"""Lending of turns at rate-limited servers between instances.
+"""Lending of permits at rate-limited servers between instances.
 
-A turn permits one request under the limit of a server.
+A permit allows one request under the limit of a server.
 """
 
 from crankchute.core.forward_fleet import accepts_requests
@@ -18,7 +18,7 @@
 
 
 class PermitLending:
-    """Borrows turns from other instances, and lends turns to them."""
+    """Borrows permits from other instances, and lends permits to them."""
 
     def __init__(self, node, peers):
         """Create the lending of one instance.
@@ -40,11 +40,11 @@
         )
 
     def borrow(self, servers, on_done):
-        """Request a turn at one of several servers from other instances.
+        """Request a permit at one of several servers from other instances.
 
         Args:
           servers: The ids of the servers, a list.
-          on_done: A function of the id of the server with the borrowed turn,
+          on_done: A function of the id of the server with the borrowed permit,
             or of None; called later, and only if this returns True.
         Returns:
           Whether any instance is asked, a bool.
@@ -62,7 +62,7 @@
         return bool(lenders)
 
     def discard_borrowed(self, server):
-        """Return a borrowed turn that was not used.
+        """Return a borrowed permit that was not used.
 
         Args:
           server: The server's id.
@@ -70,7 +70,7 @@
         self._limits.permits.discard_borrowed(server)
 
     def on_request(self, request, on_reply):
-        """Handle the request of another instance for a turn.
+        """Handle the request of another instance for a permit.
 
         Args:
           request: A TurnRequest.
--- a/crankchute/entry/permit_lending_test.py
+++ b/crankchute/entry/permit_lending_test.py
@@ -36,7 +36,7 @@
         self.limits.advertised.receive_answer('a', 1, _WINDOW_MS)
 
     def request_turn(self, *servers):
-        """Return the server at which a turn is lent, or an empty string."""
+        """Return the server at which a permit is lent, or an empty string."""
         replies = []
         lending = PermitLending(self, self)
         request = peer_pb2.TurnRequest(servers=servers)
@@ -65,7 +65,7 @@
 
 
 def use_turn(lender):
-    """Use up the only turn."""
+    """Use up the only permit."""
     lender.limits.permits.record_sent('a')
 
 
