--- a/bench/capacity_core.py
+++ b/bench/capacity_core.py
@@ -55,7 +55,7 @@
     figures = {
         'nodes': size,
         'messages_per_round': round(network.messages / node_rounds, 2),
-        'bytes_per_round': round(network.payload / node_rounds),
+        'bytes_per_round': round(network.payload_bytes / node_rounds),
         'cpu_ms_per_round': round(cpu_s / node_rounds * 1000, 3),
     }
     figures.update(_measure_propagation(network))
--- a/bench/cluster.py
+++ b/bench/cluster.py
@@ -186,7 +186,7 @@
         self._ports = pick_ports(port_count)
         self._start_platform()
         self._start_backends()
-        self.publish_folder(shape.config)
+        self.publish_directory(shape.config)
         self._start_entries()
 
     def __enter__(self):
@@ -213,9 +213,9 @@
         """The HTTP addresses of the entry instances, a list of (host, port)."""
         return [(LOOPBACK, proc.port) for proc in self.entries]
 
-    def publish_folder(self, folder):
+    def publish_directory(self, directory):
         """Publish all configuration documents of a directory."""
-        for key, document in read_folder(str(folder)).items():
+        for key, document in read_folder(str(directory)).items():
             self.publish(key, document)
 
     def publish(self, key, document):
--- a/bench/fake_network.py
+++ b/bench/fake_network.py
@@ -18,7 +18,7 @@
       cut: The two sides of a network partition, sets of ids, or None.
       now_ms: The current time.
       messages: The number of messages sent.
-      payload: The number of bytes sent.
+      payload_bytes: The number of bytes sent.
     """
 
     def __init__(self):
@@ -28,7 +28,7 @@
         self.cut = None
         self.now_ms = 0
         self.messages = 0
-        self.payload = 0
+        self.payload_bytes = 0
 
     def exchange(self, sender, receiver):
         """Send a probe and its reply; return whether the reply arrived."""
@@ -56,7 +56,7 @@
 
     def _count(self, updates):
         self.messages += 1
-        self.payload += sum(
+        self.payload_bytes += sum(
             write_member(update).ByteSize() for update in updates
         )
 
